--- a/src/daleroad/forwarding.py
+++ b/src/daleroad/forwarding.py
@@ -1,8 +1,8 @@
-"""One request's way through a gateway: route, organisation, upstream, answer.
+"""Request forwarding: routes and authenticates a request, sends it upstream, and retries it.
 
-What may be repeated is decided here alone: a request goes to another upstream when the first one
-surely did not run it, or when it is idempotent, while the shared retry budget and the route's
-limit of attempts allow it.
+All retry decisions are made here. A request is sent to another upstream if the previous one
+certainly did not run it, or if its route allows it to run more than once, within the route's
+attempt limit and the retry budget shared by all gateways.
 """
 
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True)
 class Flow:
-    """A stream for the client: whole events, then nothing more, or a failure at a cut.
+    """A streaming response: complete events, followed by a failure if the stream was cut.
 
-    :param deadline: when it must be over.
-    :param close: ends it; must be called in any case.
+    :param deadline: when the response must be complete.
+    :param close: releases the stream; must always be called.
     """
 
     status: int
@@ -64,13 +64,17 @@
 
 
 @dataclass
-class _Way:
-    """What is known of one request on its way.
-
-    :param deadline: when its client or its route's timeout ends it.
-    :param limit: the same, less the time of the answer's way.
-    :param need: time that it may need.
-    :param arrived: whether its last try may have reached an upstream.
+class _RequestState:
+    """The state of one request while it is being forwarded.
+
+    :param deadline: the earlier of the client's deadline and the route's timeout.
+    :param send_deadline: the deadline less SPARE_SECONDS for sending the response.
+    :param need: estimated time to the start and the end of the response.
+    :param tried_ids: ids of the upstreams that the request was sent to, in order.
+    :param possible_runs: number of attempts that may have run on an upstream.
+    :param attempts: number of attempts.
+    :param failed_response: the last complete response that reported a server error, if any.
+    :param reached_upstream: whether the last attempt may have reached an upstream.
     """
 
     job: Job
@@ -80,21 +84,21 @@
     organisation: str
     rank: int
     deadline: float
-    limit: float
+    send_deadline: float
     need: Need
-    tried: dict[str, None] = field(default_factory=dict)
-    ran: int = 0
-    sends: int = 0
-    last: Whole | None = None
-    arrived: bool = True
+    tried_ids: dict[str, None] = field(default_factory=dict)
+    possible_runs: int = 0
+    attempts: int = 0
+    failed_response: Whole | None = None
+    reached_upstream: bool = True
 
 
 class Forwarder:
-    """Serves requests for a gateway.
+    """Forwards a gateway's requests to upstreams.
 
     :param gateway: the gateway.
-    :param runs: the streams that it delivers.
-    :param metrics: counts requests.
+    :param runs: delivers streaming responses.
+    :param metrics: request metrics.
     """
 
     def __init__(self, gateway: Gateway, runs: Runs, metrics: RequestMetrics) -> None:
@@ -104,237 +108,256 @@
         self._started_at = anyio.current_time()
 
     async def serve(self, job: Job) -> Outcome:
-        """Return the answer to a request.
+        """Forward a request and return its response, stream or failure.
 
         :param job: the request.
         """
-        way = self._prepare(job)
-        if isinstance(way, Failure):
-            self._log_end(job, None, way)
-            return way
-        outcome = await self._find_outcome(way)
-        self._log_end(job, way, outcome)
+        state = self._resolve_request(job)
+        if isinstance(state, Failure):
+            self._log_outcome(job, None, state)
+            return state
+        outcome = await self._run_attempts(state)
+        self._log_outcome(job, state, outcome)
         return outcome
 
-    def _prepare(self, job: Job) -> _Way | Failure:
+    def _resolve_request(self, job: Job) -> _RequestState | Failure:
         gateway = self._gateway
         table = gateway.table
         if table is None or gateway.is_outdated():
             reason = "no current configuration"
-            return Failure(FailureKind.NO_LEASE, reason, Ran.NO, self._expect_config())
+            return Failure(FailureKind.NO_LEASE, reason, Ran.NO, self._find_config_retry_after())
         route = table.match(job.host, job.path)
         if isinstance(route, Failure):
             return route
         organisation, rank = "", route.rank
         if table.config.organisations and not route.public:
-            found = table.identify(job.key)
-            if isinstance(found, Failure):
-                return found
-            organisation = found.name
-            rank = route.rank if found.rank is None else found.rank
+            identified = table.identify(job.key)
+            if isinstance(identified, Failure):
+                return identified
+            organisation = identified.name
+            rank = route.rank if identified.rank is None else identified.rank
         service = table.services[table.pick_service(route, gateway.random.random())]
         deadline = min(job.deadline, job.received_at + route.timeout)
         event_tokens = service.engine.event_tokens if service.engine else 1
         need = estimate_need(route, job.prompt, event_tokens)
-        limit = deadline - SPARE_SECONDS
-        return _Way(job, table, route, service, organisation, rank, deadline, limit, need)
+        send_deadline = deadline - SPARE_SECONDS
+        return _RequestState(
+            job, table, route, service, organisation, rank, deadline, send_deadline, need
+        )
 
-    def _expect_config(self) -> float:
-        """Return the seconds after which this gateway should have a configuration."""
+    def _find_config_retry_after(self) -> float:
+        """Return the Retry-After time in seconds while this gateway has no configuration."""
         uptime = anyio.current_time() - self._started_at
         return round(max(NO_CONFIG_RETRY_SECONDS, START_SECONDS - uptime), 2)
 
-    async def _find_outcome(self, way: _Way) -> Outcome:
-        self._gateway.budget.note_first(way.service.name, anyio.current_time())
+    async def _run_attempts(self, state: _RequestState) -> Outcome:
+        self._gateway.budget.note_first(state.service.name, anyio.current_time())
         while True:
             now = anyio.current_time()
-            if now >= way.limit:
-                return self._give_up(way, "the time is over")
-            refusal = self._refuse_late(way, now)
+            if now >= state.send_deadline:
+                return self._make_final_outcome(state, "the time is over")
+            refusal = self._refuse_if_draining(state, now)
             if refusal is not None:
                 return refusal
-            if now >= self._find_latest_begin(way):
-                return self._give_up(way, "this gateway stops")
-            standing = self._gateway.guard.get_standing(way.job, way.organisation)
-            if standing is Standing.HELD or not await self._may_try(way, standing):
-                return self._hold_back(way)
-            instance = await self._place(way, standing)
+            if now >= self._find_start_deadline(state):
+                return self._make_final_outcome(state, "this gateway stops")
+            standing = self._gateway.guard.get_standing(state.job, state.organisation)
+            if standing is Standing.HELD or not await self._may_send(state, standing):
+                return self._make_held_failure(state)
+            instance = await self._pick_instance(state, standing)
             if isinstance(instance, Crowded):
                 await anyio.sleep(CROWDED_PAUSE_SECONDS)
                 continue
             if instance is None:
-                return self._give_up(way, "no upstream is left")
-            way.sends += 1
-            outcome = await self._try(way, instance, way.limit - anyio.current_time())
+                return self._make_final_outcome(state, "no upstream is left")
+            state.attempts += 1
+            outcome = await self._send_attempt(
+                state, instance, state.send_deadline - anyio.current_time()
+            )
             if outcome is not None:
                 return outcome
-            if not self._may_repeat(way):
-                return self._give_up(way, "no repeat is allowed")
+            if not self._may_retry(state):
+                return self._make_final_outcome(state, "no repeat is allowed")
 
-    async def _place(self, way: _Way, standing: Standing) -> Instance | Crowded | None:
+    async def _pick_instance(
+        self, state: _RequestState, standing: Standing
+    ) -> Instance | Crowded | None:
         gateway = self._gateway
-        prompt = way.job.prompt
+        prompt = state.job.prompt
         tokens = count_tokens(prompt)
         if standing is not Standing.CLEAR:
-            return gateway.chooser.pick_quiet(way.service, tokens, way.tried)
-        patient = self._is_patient(way, anyio.current_time())
-        return await gateway.chooser.place(way.service, tokens, way.tried, prompt, patient)
+            return gateway.chooser.pick_quiet(state.service, tokens, state.tried_ids)
+        can_wait = self._can_wait_for_memory(state, anyio.current_time())
+        return await gateway.chooser.place(state.service, tokens, state.tried_ids, prompt, can_wait)
 
-    def _is_patient(self, way: _Way, now: float) -> bool:
-        """Return whether a long generation may wait for room and still begin in time.
+    def _can_wait_for_memory(self, state: _RequestState, now: float) -> bool:
+        """Return whether a long generation may wait for free engine memory and still start in time.
 
-        Where none is left it would be preempted, or preempt another, and be late by the pause.
+        On a full engine it would be preempted, or preempt another generation, and be delayed.
         """
-        prompt = way.job.prompt
+        prompt = state.job.prompt
         if prompt is None or prompt.ends_soon():
             return False
-        return now - way.job.received_at < CROWDED_OBJECTIVES * way.route.objective
+        return now - state.job.received_at < CROWDED_OBJECTIVES * state.route.objective
 
-    async def _may_try(self, way: _Way, standing: Standing) -> bool:
-        """Return whether nobody else tries this request where only one may."""
+    async def _may_send(self, state: _RequestState, standing: Standing) -> bool:
+        """Return whether this gateway may send the request; in a trial only one gateway may."""
         if standing is not Standing.TRIAL:
             return True
-        return await self._gateway.may_try(find_fingerprint(way.job, way.organisation))
+        return await self._gateway.may_try(find_fingerprint(state.job, state.organisation))
 
-    def _hold_back(self, way: _Way) -> Failure:
-        """Return the final answer to a request that reaches no upstream any more.
+    def _make_held_failure(self, state: _RequestState) -> Failure:
+        """Return the failure for a request that is held because upstreams ended while running it.
 
-        It is given at once, and says when another try makes sense: not soon.
+        Retry-After is the remaining hold time, TRIAL_SECONDS at least.
         """
         reason = "upstreams ended while they ran this request"
-        if way.ran:
+        if state.possible_runs:
             return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.UNKNOWN)
         now = anyio.current_time()
-        fingerprint = find_fingerprint(way.job, way.organisation)
-        left = self._gateway.suspects.get_held_left(fingerprint, now)
-        return Failure(FailureKind.HELD, reason, Ran.NO, round(max(left, TRIAL_SECONDS)))
-
-    async def _try(self, way: _Way, instance: Instance, seconds: float) -> Outcome | None:
-        """Send to one instance; return the outcome, or nothing if another may be tried."""
+        fingerprint = find_fingerprint(state.job, state.organisation)
+        hold_seconds = self._gateway.suspects.get_held_left(fingerprint, now)
+        return Failure(FailureKind.HELD, reason, Ran.NO, round(max(hold_seconds, TRIAL_SECONDS)))
+
+    async def _send_attempt(
+        self, state: _RequestState, instance: Instance, seconds: float
+    ) -> Outcome | None:
+        """Send to one instance; return the outcome, or ``None`` if another may be tried."""
         gateway = self._gateway
-        way.tried[instance.id] = None
+        state.tried_ids[instance.id] = None
         gateway.chooser.ejector.take_trial(instance.id, anyio.current_time())
-        tokens = count_tokens(way.job.prompt)
-        rank = way.rank if way.service.engine else None
-        backup = gateway.chooser.pick_backup(instance, tokens, way.job.prompt)
+        tokens = count_tokens(state.job.prompt)
+        rank = state.rank if state.service.engine else None
+        backup = gateway.chooser.pick_backup(instance, tokens, state.job.prompt)
         attempt = Attempt(
-            way.job,
+            state.job,
             instance,
-            way.organisation,
+            state.organisation,
             seconds,
             rank,
             backup=backup,
-            own_connection=way.route.repeat is Repeat.STREAM,
-            silence=way.route.find_silence(),
+            own_connection=state.route.repeat is Repeat.STREAM,
+            silence=state.route.find_silence(),
         )
-        unread = way.job.prompt.tokens if way.job.prompt else 0
-        gateway.loads.add(instance, 1, tokens, unread)
+        unread_tokens = state.job.prompt.tokens if state.job.prompt else 0
+        gateway.loads.add(instance, 1, tokens, unread_tokens)
         if backup is not None:
             gateway.loads.add(backup, 0, tokens)
-        kept = False
+        streaming = False
         try:
-            latest_begin = self._find_latest_begin(way)
-            with gateway.give_up_at(latest_begin) as scope:
+            start_by = self._find_start_deadline(state)
+            with gateway.give_up_at(start_by) as scope:
                 reply = await gateway.dispatcher.send(attempt)
                 if isinstance(reply, NotRun | Lost | Whole):
-                    return self._judge(way, instance, reply)
-                kept = True
-                return self._start_flow(self._make_run(way, attempt, reply, tokens, backup))
-            way.ran += 1
-            way.last = None
-            stopped = scope.deadline < way.limit
-            if stopped:
+                    return self._handle_reply(state, instance, reply)
+                streaming = True
+                return self._start_stream(self._make_run(state, attempt, reply, tokens, backup))
+            state.possible_runs += 1
+            state.failed_response = None
+            draining = scope.deadline < state.send_deadline
+            if draining:
                 return Failure(FailureKind.DRAINING, "this gateway stops", Ran.UNKNOWN)
             gateway.chooser.note_result(instance, False)
             return Failure(FailureKind.DEADLINE, f"{instance.id} took too long", Ran.UNKNOWN)
         finally:
-            gateway.loads.add(instance, 0, 0, -unread)
-            if not kept:
+            gateway.loads.add(instance, 0, 0, -unread_tokens)
+            if not streaming:
                 gateway.loads.add(instance, -1, -tokens)
                 if backup is not None:
                     gateway.loads.add(backup, 0, -tokens)
 
-    def _refuse_late(self, way: _Way, now: float) -> Failure | None:
-        """Return a refusal of what this gateway's stop would break off, if nothing ran of it."""
+    def _refuse_if_draining(self, state: _RequestState, now: float) -> Failure | None:
+        """Return a refusal if this gateway exits before the response ends; ``None`` to go on.
+
+        A request that may have run on an upstream is never refused here.
+        """
         gateway = self._gateway
-        if gateway.serving or way.ran:
+        if gateway.serving or state.possible_runs:
             return None
         left = gateway.ends_at - LAST_ANSWER_SECONDS - now
-        back = find_return(left, gateway.others, gateway.chooser.gateways)
-        if takes(way.need, left, way.limit - now, back):
+        retry_after = find_return(left, gateway.others, gateway.chooser.gateways)
+        if takes(state.need, left, state.send_deadline - now, retry_after):
             return None
         reason = "this gateway stops before the answer could be whole"
-        return Failure(FailureKind.DRAINING, reason, Ran.NO, back)
+        return Failure(FailureKind.DRAINING, reason, Ran.NO, retry_after)
 
-    def _find_latest_begin(self, way: _Way) -> float:
-        """Return until when an answer must have begun; a later one our end would break off."""
+    def _find_start_deadline(self, state: _RequestState) -> float:
+        """Return the latest start of a response that should still end before the gateway exits."""
         ends_at = self._gateway.ends_at - LAST_ANSWER_SECONDS
-        if way.limit <= ends_at:
-            return way.limit
-        return min(way.limit, way.need.find_latest_begin(ends_at))
+        if state.send_deadline <= ends_at:
+            return state.send_deadline
+        return min(state.send_deadline, state.need.find_latest_begin(ends_at))
 
     def _make_run(
-        self, way: _Way, attempt: Attempt, stream: Stream, tokens: int, backup: Instance | None
+        self,
+        state: _RequestState,
+        attempt: Attempt,
+        stream: Stream,
+        tokens: int,
+        backup: Instance | None,
     ) -> Run:
-        """Return a stream that was begun, with what may be done if its upstream breaks it off."""
-        most = way.route.attempts if way.route.resumable else 0
-        tries = Tries(set(way.tried), most, way.ran + 1, way.need)
-        allowed = way.route.pause
-        return Run(attempt, stream, way.deadline, tokens, backup, tries=tries, pause=allowed)
-
-    def _judge(self, way: _Way, instance: Instance, reply: Reply) -> Outcome | None:
+        """Return the state of a started stream, with the limits for resuming it after a cut."""
+        max_runs = state.route.attempts if state.route.resumable else 0
+        tries = Tries(set(state.tried_ids), max_runs, state.possible_runs + 1, state.need)
+        max_pause = state.route.pause
+        return Run(attempt, stream, state.deadline, tokens, backup, tries=tries, pause=max_pause)
+
+    def _handle_reply(
+        self, state: _RequestState, instance: Instance, reply: Reply
+    ) -> Outcome | None:
         match reply:
             case NotRun(reason, gone, sent, held):
-                self._log_try(way, instance, "not run", reason)
-                way.arrived = sent
+                self._log_failed_attempt(state, instance, "not run", reason)
+                state.reached_upstream = sent
                 if gone:
                     self._gateway.note_replaced(instance)
                 elif not sent and not held:
                     self._gateway.chooser.note_unreached(instance)
                 return None
             case Lost(reason):
-                way.ran += 1
-                fingerprint = find_fingerprint(way.job, way.organisation)
-                self._log_try(way, instance, "lost", reason, fingerprint)
+                state.possible_runs += 1
+                fingerprint = find_fingerprint(state.job, state.organisation)
+                self._log_failed_attempt(state, instance, "lost", reason, fingerprint)
                 self._gateway.chooser.note_result(instance, False)
-                if way.route.is_repeatable():
+                if state.route.is_repeatable():
                     return None
                 return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.UNKNOWN)
             case Whole(status):
-                way.ran += 1
+                state.possible_runs += 1
                 self._gateway.chooser.note_result(instance, not reply.is_failed())
-                if not reply.is_failed() or not way.route.is_repeatable():
+                if not reply.is_failed() or not state.route.is_repeatable():
                     return reply
-                self._log_try(way, instance, "failed", str(status))
-                way.last = reply
+                self._log_failed_attempt(state, instance, "failed", str(status))
+                state.failed_response = reply
                 return None
         return None
 
-    def _may_repeat(self, way: _Way) -> bool:
-        if not way.arrived:
-            # No upstream has seen the last try, so the next repeats nothing. Where a third of the
-            # engines ended at once, 95 of 119 streams that were refused within three seconds had
-            # reached none: each gateway's part of the budget was two repeats in ten seconds.
-            way.arrived = True
+    def _may_retry(self, state: _RequestState) -> bool:
+        if not state.reached_upstream:
+            # The last attempt reached no upstream, so the next one is not counted as a retry.
+            # Otherwise failed connections would exhaust the budget when many engines end at once.
+            state.reached_upstream = True
             return True
-        if way.ran >= max(1, way.route.attempts):
+        if state.possible_runs >= max(1, state.route.attempts):
             return False
         gateway = self._gateway
-        return gateway.take_repeat(way.service.name)
+        return gateway.take_repeat(state.service.name)
 
-    def _give_up(self, way: _Way, reason: str) -> Outcome:
-        """Return the final answer of a request that gets no further try."""
-        if way.last is not None:
-            return way.last
-        if way.ran:
+    def _make_final_outcome(self, state: _RequestState, reason: str) -> Outcome:
+        """Return the final outcome of a request that is not sent again."""
+        if state.failed_response is not None:
+            return state.failed_response
+        if state.possible_runs:
             return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.UNKNOWN)
-        if self._gateway.is_evacuated(way.service):
+        if self._gateway.is_evacuated(state.service):
             reason = "all zones with upstreams are evacuated"
             return Failure(FailureKind.EVACUATED, reason, Ran.NO, EVACUATED_RETRY_SECONDS)
-        after = ENGINE_RETRY_AFTER_SECONDS if way.service.engine else PLAIN_RETRY_AFTER_SECONDS
-        return Failure(FailureKind.NO_UPSTREAM, reason, Ran.NO, after)
+        retry_after = (
+            ENGINE_RETRY_AFTER_SECONDS if state.service.engine else PLAIN_RETRY_AFTER_SECONDS
+        )
+        return Failure(FailureKind.NO_UPSTREAM, reason, Ran.NO, retry_after)
 
-    def _start_flow(self, run: Run) -> Flow:
+    def _start_stream(self, run: Run) -> Flow:
         runs = self._runs
         stream = run.stream
         runs.open(run)
@@ -344,58 +367,63 @@
 
         return Flow(stream.status, stream.headers, runs.deliver(run), run.deadline, close)
 
-    def _log_try(
-        self, way: _Way, instance: Instance, outcome: str, reason: str, fingerprint: str = ""
+    def _log_failed_attempt(
+        self,
+        state: _RequestState,
+        instance: Instance,
+        outcome: str,
+        reason: str,
+        fingerprint: str = "",
     ) -> None:
         gateway = self._gateway
         log_event(
             Event.ATTEMPT_FAILED,
-            request=way.job.id,
-            route=way.route.name,
+            request=state.job.id,
+            route=state.route.name,
             upstream=instance.id,
             outcome=outcome,
             reason=reason,
             fingerprint=fingerprint,
-            config=way.table.config.version,
+            config=state.table.config.version,
             fleet=gateway.fleet.revision,
             heartbeat_age=round(gateway.fleet.get_age(instance.id, anyio.current_time()), 3),
         )
 
-    def _log_end(self, job: Job, way: _Way | None, outcome: Outcome) -> None:
+    def _log_outcome(self, job: Job, state: _RequestState | None, outcome: Outcome) -> None:
         seconds = anyio.current_time() - job.received_at
-        kind_of_route = way.route.repeat.value if way else "unrouted"
+        retry_policy = state.route.repeat.value if state else "unrouted"
         fields: dict[str, object] = {"request": job.id, "seconds": round(seconds, 4)}
-        if way is not None:
+        if state is not None:
             fields |= {
-                "kind": kind_of_route,
-                "late": 0 < way.route.objective < seconds,
-                "route": way.route.name,
-                "service": way.service.name,
-                "sends": way.sends,
-                "config": way.table.config.version,
+                "kind": retry_policy,
+                "late": 0 < state.route.objective < seconds,
+                "route": state.route.name,
+                "service": state.service.name,
+                "sends": state.attempts,
+                "config": state.table.config.version,
             }
         if not self._gateway.serving:
             left = self._gateway.ends_at - job.received_at
             fields["left_at_arrival"] = round(left, 3)
-        end = outcome.kind.value if isinstance(outcome, Failure) else str(outcome.status)
-        sends = way.sends if way else 0
-        self._metrics.note_end(kind_of_route, end, sends, job.received_at)
+        result = outcome.kind.value if isinstance(outcome, Failure) else str(outcome.status)
+        sends = state.attempts if state else 0
+        self._metrics.note_end(retry_policy, result, sends, job.received_at)
         match outcome:
             case Failure(kind, reason, ran):
                 fields |= {"failure": kind.value, "reason": reason, "ran": ran.value}
-                heard = round(anyio.current_time() - self._gateway.heard_at, 3)
-                log_event(Event.REQUEST_REFUSED, **fields, heard_age=heard)
+                heard_age = round(anyio.current_time() - self._gateway.heard_at, 3)
+                log_event(Event.REQUEST_REFUSED, **fields, heard_age=heard_age)
             case Whole(status):
                 log_event(Event.REQUEST_ANSWERED, **fields, status=status)
             case Flow(status):
-                upstream = list(way.tried)[-1] if way else ""
+                upstream = list(state.tried_ids)[-1] if state else ""
                 log_event(Event.STREAM_BEGUN, **fields, status=status, upstream=upstream)
 
 
 def count_tokens(prompt: Prompt | None) -> int:
-    """Return the memory that a request may take on an engine, in tokens.
+    """Return the estimated memory of a request on an engine, in tokens.
 
-    The output's length is not known; half of its limit stands for it.
+    The output length is not known in advance; half of its limit is assumed.
 
     :param prompt: the request's prompt, if it has one.
     """
--- a/src/daleroad/gateway.py
+++ b/src/daleroad/gateway.py
@@ -1,4 +1,7 @@
-"""The central object of a gateway: what it believes, and the parts that act on it."""
+"""The shared state of one gateway: routing table, known upstreams and retry budget.
+
+Request handling is in :mod:`daleroad.forwarding`, stream delivery in :mod:`daleroad.runs`.
+"""
 
 from collections.abc import Awaitable, Callable, Coroutine, Iterator
 from contextlib import contextmanager
@@ -27,20 +30,20 @@
 from daleroad.routing import RoutingConfig, RoutingTable, ServiceRule
 from daleroad.suspects import Suspects, Suspicion
 
-AskTrial = Callable[[str], Awaitable[bool]]
-"""Asks another process whether a request that was held for long may be tried here."""
+TrialCallback = Callable[[str], Awaitable[bool]]
+"""Asks another process for permission to send a long-held request from this gateway."""
 
 
 @dataclass
 class Gateway:
-    """One gateway.
-
-    :param options: what it is told.
-    :param dispatcher: carries requests to upstreams.
-    :param random: source of choices between equals.
-    :param others: how many others take clients.
-    :param ends_at: when the process ends at the earliest, on the runtime's clock; known once it was
-        told to stop.
+    """The state of one gateway, and updates to it.
+
+    :param options: start-up options.
+    :param dispatcher: sends requests to upstreams.
+    :param random: random source for choosing between equal upstreams.
+    :param others: number of other gateways that accept clients.
+    :param ends_at: earliest time at which the process exits, on the runtime's clock; infinite until
+        a drain begins.
     """
 
     options: GatewayOptions
@@ -55,8 +58,8 @@
     open_requests: int = 0
     on_leaving: Callable[[Instance], None] = lambda instance: None
     on_news: Callable[[], None] = lambda: None
-    ask_trial: AskTrial | None = None
-    _waits: set[anyio.CancelScope] = field(default_factory=set)
+    ask_trial: TrialCallback | None = None
+    _attempt_scopes: set[anyio.CancelScope] = field(default_factory=set)
     _leaving_since: dict[str, float] = field(default_factory=dict)
     _tasks: TaskGroup | None = None
 
@@ -77,22 +80,22 @@
         self.guard.ask_grant = self.chooser.ask_grant
 
     def tell(self, suspicion: Suspicion) -> None:
-        """Let the coordinators know at once what this gateway knows of a suspected request.
+        """Queue an update about a suspected request for the coordinators and trigger sending.
 
-        :param suspicion: what it knows.
+        :param suspicion: the update.
         """
         self.news.add(suspicion)
         self.on_news()
 
     def start(self, tasks: TaskGroup) -> None:
-        """Let parts run in the background.
+        """Set the task group in which :meth:`spawn` starts background tasks.
 
-        :param tasks: runs them.
+        :param tasks: the task group.
         """
         self._tasks = tasks
 
     def spawn(self, func: Callable[..., Coroutine[Any, Any, Any]], *args: Any) -> None:
-        """Run something in the background for as long as the gateway runs.
+        """Start a background task; does nothing before :meth:`start`.
 
         :param func: the coroutine function.
         :param args: its arguments.
@@ -101,50 +104,51 @@
             self._tasks.start_soon(func, *args)
 
     def make_notice(self) -> GatewayNotice:
-        """Return this gateway as others should know it."""
+        """Return this gateway's announcement to the coordinators."""
         options = self.options
         return GatewayNotice(options.address, options.zone, options.region, self.is_ready())
 
     def begin_drain(self, ends_at: float) -> None:
-        """Send new clients elsewhere; nothing waits for an upstream until the process ends.
+        """Stop accepting new clients, and bound the attempts in progress by the process exit.
 
-        What waits until shortly before gets an answer, which says that it may have run.
+        Attempts still waiting LAST_ANSWER_SECONDS before the exit are cancelled, so that their
+        clients can be told that the request may have run.
 
-        :param ends_at: when the process ends at the earliest, on the runtime's clock.
+        :param ends_at: earliest time at which the process exits, on the runtime's clock.
         """
         self.serving = False
         self.ends_at = ends_at
-        for scope in self._waits:
+        for scope in self._attempt_scopes:
             scope.deadline = min(scope.deadline, ends_at - LAST_ANSWER_SECONDS)
 
     def end_drain(self) -> None:
-        """Take nothing more: the process ends now, maybe before its time."""
+        """Set the exit time to now, possibly earlier than announced; new requests are refused."""
         self.ends_at = anyio.current_time()
 
     @contextmanager
     def give_up_at(self, time: float) -> Iterator[anyio.CancelScope]:
-        """Give up what is done within at a time, or before the process ends; yield the scope.
+        """Yield a cancel scope with a deadline, which a drain can move earlier.
 
-        :param time: the time, on the runtime's clock.
+        :param time: the deadline, on the runtime's clock.
         """
         with anyio.CancelScope(deadline=time) as scope:
-            self._waits.add(scope)
+            self._attempt_scopes.add(scope)
             try:
                 yield scope
             finally:
-                self._waits.discard(scope)
+                self._attempt_scopes.discard(scope)
 
     def is_ready(self) -> bool:
-        """Return whether new clients should come here."""
+        """Return whether the gateway accepts new clients: not draining, and configured."""
         return self.serving and self.table is not None
 
     def is_outdated(self) -> bool:
-        """Return whether the configuration may be too old to serve by."""
+        """Return whether no coordinator was heard for longer than ``outdated_after``."""
         limit = self.options.outdated_after
         return limit is not None and self.get_heard_age() > limit
 
     def replace_config(self, config: RoutingConfig) -> None:
-        """Serve by a newer configuration; an older one changes nothing.
+        """Apply a routing configuration if it is newer than the current one.
 
         :param config: the configuration.
         """
@@ -154,7 +158,7 @@
             self.configured.set()
 
     def replace_zones(self, zones: EvacuatedZones) -> bool:
-        """Go by a newer state of the evacuated zones; return whether it is newer.
+        """Apply a state of the evacuated zones if it is newer; return whether it was applied.
 
         :param zones: the state.
         """
@@ -164,7 +168,7 @@
         return True
 
     def is_evacuated(self, service: ServiceRule) -> bool:
-        """Return whether a service has upstreams, but all of them in evacuated zones.
+        """Return whether a service has ready upstreams, all of them in evacuated zones.
 
         :param service: the service.
         """
@@ -172,124 +176,124 @@
         return bool(ready) and all(self.guard.is_evacuated(instance) for instance in ready)
 
     def get_version(self) -> int:
-        """Return the version of the configuration in force, 0 for none."""
+        """Return the version of the current configuration, 0 for none."""
         return self.table.config.version if self.table else 0
 
     def get_heard_age(self) -> float:
-        """Return the seconds since a coordinator was heard."""
+        """Return the seconds since the last answer from a coordinator."""
         return anyio.current_time() - self.heard_at
 
     def count_held(self) -> int:
-        """Return how many requests reach no upstream, since upstreams ended while they ran them."""
+        """Return how many requests are held because upstreams ended while running them."""
         return self.suspects.count_held(anyio.current_time())
 
     def count_limited(self) -> int:
-        """Return how many upstreams name a limit on their requests."""
+        """Return how many upstreams have announced a request rate limit."""
         return self.fleet.count_limited()
 
     def count_resting(self) -> int:
-        """Return how many upstreams want nothing from this gateway for now."""
+        """Return how many upstreams have asked this gateway to pause requests."""
         return self.guard.rests.count(anyio.current_time())
 
     def get_service(self, name: str) -> ServiceRule | None:
-        """Return a service of the present configuration.
+        """Return a service of the current configuration.
 
         :param name: its name.
         """
         return self.table.services.get(name) if self.table else None
 
     def get_leaving_since(self, instance: Instance) -> float:
-        """Return when this gateway heard that an instance leaves, or now.
+        """Return when this gateway learnt that an instance is leaving; now if it has not.
 
         :param instance: the instance.
         """
         return self._leaving_since.get(instance.id, anyio.current_time())
 
     async def may_try(self, fingerprint: str) -> bool:
-        """Return whether a request that was held for long may be tried by this gateway now.
+        """Return whether this gateway was granted the trial of a long-held request.
 
-        :param fingerprint: the request.
+        :param fingerprint: the request's fingerprint.
         """
         return self.ask_trial is not None and await self.ask_trial(fingerprint)
 
-    def note_backpressure(self, instance: Instance, told: Backpressure) -> None:
-        """Take in what an upstream says of itself in an answer.
+    def note_backpressure(self, instance: Instance, signals: Backpressure) -> None:
+        """Apply the backpressure signals that an upstream sent with a response.
 
         :param instance: the upstream.
-        :param told: what it says.
+        :param signals: the signals.
         """
         now = anyio.current_time()
-        if told.cold is not None:
-            self.fleet.note_cold(instance.id, told.cold, now)
-        if self.fleet.note_limit(instance.id, RateLimit(told.limit), now):
-            log_event(Event.UPSTREAM_LIMITED, id=instance.id, rate=told.limit, by="its answer")
-            self._tell_of(instance)
-        if self.guard.rests.note(instance.get_name(), told.rest, now):
-            log_event(Event.UPSTREAM_RESTS, id=instance.id, seconds=told.rest)
-        leaving = self.fleet.note_leaving(instance.id) if told.leaving else []
+        if signals.cold is not None:
+            self.fleet.note_cold(instance.id, signals.cold, now)
+        if self.fleet.note_limit(instance.id, RateLimit(signals.limit), now):
+            log_event(Event.UPSTREAM_LIMITED, id=instance.id, rate=signals.limit, by="its answer")
+            self._queue_upstream_notice(instance)
+        if self.guard.rests.note(instance.get_name(), signals.rest, now):
+            log_event(Event.UPSTREAM_RESTS, id=instance.id, seconds=signals.rest)
+        leaving = self.fleet.note_leaving(instance.id) if signals.leaving else []
         if leaving:
             log_event(Event.UPSTREAM_SAYS_LEAVING, id=instance.id)
             self.note_changes(leaving)
-            self._tell_of(instance)
+            self._queue_upstream_notice(instance)
 
-    def _tell_of(self, instance: Instance) -> None:
-        """Let the coordinators know at once what an upstream said of itself."""
+    def _queue_upstream_notice(self, instance: Instance) -> None:
+        """Queue an upstream's changed state for the coordinators and trigger sending."""
         self.upstream_news.add(instance.id)
         self.on_news()
 
     def list_upstream_news(self, after: int) -> tuple[UpstreamNotice, ...]:
-        """Return what upstreams said of themselves, where that is news.
+        """Return notices of the upstreams whose announced state changed after a sequence number.
 
-        :param after: number of the last piece of such news that is known.
+        :param after: sequence number of the last change that the receiver has.
         """
         names = dict.fromkeys(self.upstream_news.list_after(after))
         return tuple(list_notices(self.fleet, names, anyio.current_time()))
 
     def take_repeat(self, service: str) -> bool:
-        """Take one repeat of the budget that all gateways share; return whether it is allowed.
+        """Take one retry from the budget that all gateways share; return whether it was granted.
 
-        :param service: where the request goes.
+        :param service: the service that the request is for.
         """
         return self.budget.take(service, self.chooser.gateways, anyio.current_time())
 
     def note_replaced(self, instance: Instance) -> None:
-        """Take in that another instance answered at an upstream's address.
+        """Mark an upstream as gone because another instance answered at its address.
 
-        :param instance: the upstream, which has ended.
+        :param instance: the upstream.
         """
         if self.fleet.is_replaced(instance):
-            # Its next start is known by now, and that one has not ended.
+            # The fleet already lists the newer instance at this address, which must not be marked.
             return
         if self.fleet.leave(instance.get_name(), anyio.current_time(), instance.born):
             log_event(Event.UPSTREAM_LEFT, id=instance.id, service=instance.service, why="replaced")
-            # Its streams are not moved: who answers at its address knows nothing of them.
-            self._forget(instance)
+            # Streams are not moved: the new instance at the address has none of their state.
+            self._drop_upstream(instance)
 
     def note_changes(self, changed: list[Instance]) -> None:
-        """Act on instances that are not as they were.
+        """Handle changes of instance state.
 
-        :param changed: the instances as they are now.
+        :param changed: the instances with their new state.
         """
         for instance in changed:
             match instance.state:
                 case InstanceState.READY:
                     pass
                 case InstanceState.LEAVING:
-                    self._note_leaving(instance)
+                    self._handle_leaving(instance)
                 case InstanceState.GONE:
-                    # Who answers at the address of one that started again knows nothing of before.
+                    # A restarted instance has no state of the streams that ran before.
                     if not self.fleet.is_replaced(instance):
-                        self._note_leaving(instance)
-                    self._forget(instance)
+                        self._handle_leaving(instance)
+                    self._drop_upstream(instance)
 
-    def _forget(self, instance: Instance) -> None:
+    def _drop_upstream(self, instance: Instance) -> None:
         self.chooser.forget(instance.id)
         self.dispatcher.forget(instance)
 
-    def _note_leaving(self, instance: Instance) -> None:
+    def _handle_leaving(self, instance: Instance) -> None:
         now = anyio.current_time()
-        old = [i for i, at in self._leaving_since.items() if now - at > GONE_KEPT_SECONDS]
-        for instance_id in old:
+        expired = [i for i, at in self._leaving_since.items() if now - at > GONE_KEPT_SECONDS]
+        for instance_id in expired:
             del self._leaving_since[instance_id]
         self._leaving_since.setdefault(instance.id, now)
         self.on_leaving(instance)
--- a/src/daleroad/runs.py
+++ b/src/daleroad/runs.py
@@ -1,7 +1,7 @@
-"""Streams that a gateway delivers, wherever their generations go on.
+"""Delivery of streaming responses, including resumption on another upstream after a cut.
 
-A generation belongs to one client and is never made twice. The client gets each event once and
-in order, also when the generation moves to another engine midway.
+The client receives each event once and in order, also if the generation is migrated to another
+engine midway or the stream is restarted there after its last event.
 """
 
 from collections.abc import AsyncGenerator
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Continuation:
-    """An engine that has a generation's memory, and how to ask it to go on."""
+    """An engine that can resume a generation, and the source of the generation's memory."""
 
     instance: Instance
     source: Source
@@ -41,12 +41,12 @@
 
 @dataclass
 class Tries:
-    """The upstreams that one request ran on, and how many there may be.
+    """The attempts of one request, and the limit on restarting its stream.
 
-    :param upstreams: ids of those that it was sent to.
-    :param most: runs allowed where a stream may be made anew elsewhere, else 0.
-    :param ran: runs so far; one that goes on from its own memory is the same run.
-    :param need: time that another run may need.
+    :param upstreams: ids of the upstreams that it was sent to.
+    :param most: allowed number of runs if the route allows a restart elsewhere, else 0.
+    :param ran: number of runs so far; resuming from copied memory does not start another run.
+    :param need: estimated duration of another run.
     """
 
     upstreams: set[str] = field(default_factory=set)
@@ -57,22 +57,25 @@
 
 @dataclass
 class Run:
-    """One stream on its way to a client.
-
-    :param attempt: what was sent, and where.
-    :param stream: what comes back.
-    :param deadline: when the client or the route's timeout ends it.
-    :param tokens: memory noted for it, also at its backup.
-    :param backup: an engine that keeps a copy while the generation runs.
-    :param moving: whether it is being moved off its engine.
-    :param continuation: set once it stopped there and its memory is elsewhere.
-    :param settled: set when a move is over, whether it went well or not.
-    :param outcome: how it ended. A client that leaves just ends the delivery, so that stands until
-        another way is known.
-    :param reason: what broke it off upstream.
-    :param tries: where it ran, and whether it may be made anew elsewhere.
-    :param pause: longest pause between events that its route allows, in seconds; 0 for any.
-    :param longest_pause: the longest so far.
+    """One stream that is being delivered to a client.
+
+    :param attempt: the current attempt and its upstream.
+    :param stream: the upstream's stream.
+    :param deadline: the earlier of the client's deadline and the route's timeout.
+    :param tokens: memory in tokens that is counted for it at its engine and at its backup.
+    :param backup: an engine that receives a copy of the memory while the generation runs.
+    :param events: number of events delivered.
+    :param last_event: id of the last event that had one.
+    :param moving: whether a migration off its engine was started.
+    :param continuation: set once the generation was stopped and its memory copied elsewhere.
+    :param settled: set when the migration has ended, successfully or not.
+    :param outcome: how the stream ended. A client disconnect only cancels the delivery, so it is
+        assumed until another end is known.
+    :param reason: why the upstream's stream was cut.
+    :param tries: attempts so far, and the limit on restarting the stream.
+    :param pause: longest pause between events that the route allows, in seconds; 0 for no limit.
+    :param longest_pause: longest pause between events so far, in seconds.
+    :param last_event_at: when the last event arrived.
     """
 
     attempt: Attempt
@@ -91,24 +94,24 @@
     tries: Tries = field(default_factory=Tries)
     pause: float = 0.0
     longest_pause: float = 0.0
-    event_at: float = 0.0
+    last_event_at: float = 0.0
 
 
 class Mover(Protocol):
-    """Moves generations off engines that leave or died."""
+    """Migrates generations off engines that are shutting down or have failed."""
 
     def begin(self, run: Run) -> None:
-        """Begin to move a run off an engine that leaves."""
+        """Start to migrate a run off an engine that is shutting down."""
 
     async def continue_cut(self, run: Run) -> Continuation | None:
-        """Return where a run whose stream was cut can go on, if anywhere."""
+        """Return the engine that can resume a run whose stream was cut, if there is one."""
 
 
 class Runs:
-    """The streams of one gateway.
+    """The open streams of one gateway.
 
     :param gateway: the gateway.
-    :param mover: moves generations.
+    :param mover: migrates generations between engines.
     """
 
     def __init__(self, gateway: Gateway, mover: Mover) -> None:
@@ -117,11 +120,11 @@
         self._runs: dict[str, Run] = {}
 
     def count(self) -> int:
-        """Return how many streams are under way."""
+        """Return the number of open streams."""
         return len(self._runs)
 
     def leave_engine(self, instance: Instance) -> None:
-        """Begin to move the streams off an instance that leaves.
+        """Start to migrate all streams off an instance that is leaving.
 
         :param instance: the instance.
         """
@@ -130,15 +133,15 @@
                 self._mover.begin(run)
 
     def open(self, run: Run) -> None:
-        """Take charge of a stream; :meth:`close` must follow.
+        """Register a stream; :meth:`close` must be called later.
 
         :param run: the stream.
         """
         self._runs[run.attempt.job.id] = run
-        self._move_if_leaving(run)
+        self._migrate_if_leaving(run)
 
     async def deliver(self, run: Run) -> AsyncGenerator[bytes | Failure, None]:
-        """Yield a stream's events, wherever its generation goes on.
+        """Yield a stream's events, resuming on other upstreams after cuts; a failure is last.
 
         :param run: the stream.
         """
@@ -148,25 +151,25 @@
                 if isinstance(piece, Lost):
                     cut = piece
                     break
-                if _note_piece(run, piece):
+                if _record_event(run, piece):
                     yield piece.data
             if cut is None:
                 run.outcome = StreamEnd.WHOLE
                 return
-            failure = await self._go_on(run, cut)
+            failure = await self._resume(run, cut)
             if failure is not None:
-                run.outcome = _find_end(failure)
+                run.outcome = _classify_end(failure)
                 run.reason = failure.reason
                 yield failure
                 return
 
     def note_stop(self) -> None:
-        """Note that this gateway stops; streams that are not whole by then end for that."""
+        """Set the outcome of all open streams to STOP; a stream that still ends overwrites it."""
         for run in self._runs.values():
             run.outcome = StreamEnd.STOP
 
     async def close(self, run: Run) -> None:
-        """End a stream, whether it is over or not.
+        """Unregister a stream, release its load, close its connection and log its end.
 
         :param run: the stream.
         """
@@ -175,29 +178,29 @@
         run.ended = True
         run.settled.set()
         self._runs.pop(run.attempt.job.id, None)
-        self._remove_loads(run)
+        self._release_loads(run)
         with anyio.CancelScope(shield=True):
             await run.stream.close()
         self._log_end(run)
 
-    async def _go_on(self, run: Run, cut: Lost) -> Failure | None:
-        """Continue a stream that was cut: from its generation's memory, or else made anew."""
+    async def _resume(self, run: Run, cut: Lost) -> Failure | None:
+        """Resume a stream that was cut: from copied memory, or else by a restart elsewhere."""
         cut_at = anyio.current_time()
-        found = await self._mover.continue_cut(run)
-        if found is not None:
-            failure = await self._go_on_at(run, found.instance, found.source, cut_at)
+        continuation = await self._mover.continue_cut(run)
+        if continuation is not None:
+            failure = await self._resume_at(run, continuation.instance, continuation.source, cut_at)
         else:
             self._gateway.chooser.note_result(run.attempt.instance, False)
             failure = Failure(FailureKind.UPSTREAM_LOST, cut.reason, Ran.PARTIAL)
         while failure is not None and failure.kind is FailureKind.UPSTREAM_LOST:
-            instance = self._pick_anew(run)
+            instance = self._pick_restart_instance(run)
             if instance is None:
                 break
-            failure = await self._go_on_at(run, instance, None, cut_at)
+            failure = await self._resume_at(run, instance, None, cut_at)
         return failure
 
-    def _pick_anew(self, run: Run) -> Instance | None:
-        """Return where a stream may be made anew after its last event, if anywhere."""
+    def _pick_restart_instance(self, run: Run) -> Instance | None:
+        """Return an upstream on which a stream may be restarted after its last event, if any."""
         gateway = self._gateway
         tries = run.tries
         service = gateway.get_service(run.attempt.instance.service)
@@ -205,11 +208,11 @@
             return None
         job, organisation = run.attempt.job, run.attempt.organisation
         if gateway.guard.get_standing(job, organisation) is not Standing.CLEAR:
-            # Another upstream may end as the last one did; its client may ask again.
+            # The request is suspected of ending upstreams; its client may send it again.
             return None
         now = anyio.current_time()
         if not tries.need.fits(gateway.ends_at - now, run.deadline - now):
-            # This gateway stops before it would be over; the client can resume elsewhere at once.
+            # This gateway exits before the stream would end; the client can resume elsewhere now.
             return None
         prompt = run.attempt.job.prompt
         chooser = gateway.chooser
@@ -219,17 +222,18 @@
             return None
         return found
 
-    async def _go_on_at(
+    async def _resume_at(
         self, run: Run, instance: Instance, source: Source | None, cut_at: float
     ) -> Failure | None:
-        """Let an upstream go on with a stream: from its memory, or made anew without any."""
+        """Resume a stream on an upstream; without a source of memory it is restarted there."""
         seconds = run.deadline - anyio.current_time()
         if seconds <= 0:
             return Failure(FailureKind.DEADLINE, "the time is over", Ran.PARTIAL)
         run.tries.upstreams.add(instance.id)
         backup = None
         if source is None:
-            # Two upstreams must not make one stream: the first stops when its connection closes.
+            # Closing the connection stops the generation on the first upstream, so that only one
+            # upstream at a time runs it.
             await run.stream.close()
         else:
             source = replace(source, last_event=run.last_event)
@@ -246,24 +250,24 @@
         if source is None and not isinstance(reply, NotRun):
             run.tries.ran += 1
         if isinstance(reply, NotRun | Lost | Whole):
-            return self._note_not_continued(run, instance, reply)
+            return self._log_resume_failure(run, instance, reply)
         if source is not None:
             await run.stream.close()
-        self._continue_on(run, attempt, reply, backup, cut_at)
+        self._switch_upstream(run, attempt, reply, backup, cut_at)
         return None
 
-    def _note_not_continued(
+    def _log_resume_failure(
         self, run: Run, instance: Instance, reply: NotRun | Lost | Whole
     ) -> Failure:
         reason = f"status {reply.status}" if isinstance(reply, Whole) else reply.reason
         log_event(Event.MOVE_FAILED, request=run.attempt.job.id, to=instance.id, reason=reason)
         return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.PARTIAL)
 
-    def _continue_on(
+    def _switch_upstream(
         self, run: Run, attempt: Attempt, stream: Stream, backup: Instance | None, cut_at: float
     ) -> None:
-        self._remove_loads(run)
-        self._take_over(run, attempt, stream, backup)
+        self._release_loads(run)
+        self._attach(run, attempt, stream, backup)
         log_event(
             Event.STREAM_MOVED,
             request=run.attempt.job.id,
@@ -272,11 +276,9 @@
             copied=attempt.source is not None,
             pause=round(anyio.current_time() - cut_at, 3),
         )
-        self._move_if_leaving(run)
+        self._migrate_if_leaving(run)
 
-    def _take_over(
-        self, run: Run, attempt: Attempt, stream: Stream, backup: Instance | None
-    ) -> None:
+    def _attach(self, run: Run, attempt: Attempt, stream: Stream, backup: Instance | None) -> None:
         run.attempt = attempt
         run.stream = stream
         run.backup = backup
@@ -287,14 +289,14 @@
         if backup is not None:
             self._gateway.loads.add(backup, 0, run.tokens)
 
-    def _move_if_leaving(self, run: Run) -> None:
+    def _migrate_if_leaving(self, run: Run) -> None:
         known = self._gateway.fleet.get(run.attempt.instance.id)
         if known is None or self._gateway.fleet.is_replaced(known):
             return
         if known.state is not InstanceState.READY:
             self._mover.begin(run)
 
-    def _remove_loads(self, run: Run) -> None:
+    def _release_loads(self, run: Run) -> None:
         self._gateway.loads.add(run.attempt.instance, -1, -run.tokens)
         if run.backup is not None:
             self._gateway.loads.add(run.backup, 0, -run.tokens)
@@ -319,22 +321,22 @@
         )
 
 
-def _find_end(failure: Failure) -> StreamEnd:
-    """Return how a stream ended that could not go on."""
+def _classify_end(failure: Failure) -> StreamEnd:
+    """Return the end of a stream that failed and could not be resumed."""
     return StreamEnd.DEADLINE if failure.kind is FailureKind.DEADLINE else StreamEnd.UPSTREAM
 
 
-def _note_piece(run: Run, piece: Piece) -> bool:
-    """Note an event; return whether the client lacks it. Ids of one stream increase."""
-    known, fresh = run.last_event, piece.event
-    if known.isdecimal() and fresh.isdecimal() and int(fresh) <= int(known):
-        log_event(Event.EVENT_DOUBLED, request=run.attempt.job.id, event_id=fresh, last=known)
+def _record_event(run: Run, piece: Piece) -> bool:
+    """Record an event; return whether it is new to the client. Ids increase within a stream."""
+    last_id, event_id = run.last_event, piece.event
+    if last_id.isdecimal() and event_id.isdecimal() and int(event_id) <= int(last_id):
+        log_event(Event.EVENT_DOUBLED, request=run.attempt.job.id, event_id=event_id, last=last_id)
         return False
     now = anyio.current_time()
     if run.events:
-        run.longest_pause = max(run.longest_pause, now - run.event_at)
-    run.event_at = now
+        run.longest_pause = max(run.longest_pause, now - run.last_event_at)
+    run.last_event_at = now
     run.events += 1
-    if fresh:
-        run.last_event = fresh
+    if event_id:
+        run.last_event = event_id
     return True
