--- a/src/daleroad/copyschedule.py
+++ b/src/daleroad/copyschedule.py
@@ -1,44 +1,44 @@
-"""When each generation's memory is copied off an engine that leaves. Pure.
+"""Schedule of the memory copies that migrate runs off an engine that is shutting down.
 
-Copies queue on the engine's link, and all gateways with work there use it. Each of them makes the
-same schedule from the engine's own list, so nobody's copy waits behind another's, and no run is
-stopped while a long copy is under way.
+Copies queue on the engine's link, which all gateways with runs there use. Each gateway computes the
+same schedule from the engine's list of runs, so that copies do not wait for each other and no run
+is stopped while a long copy is in progress. Pure functions.
 """
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
 STOP_MARGIN_SECONDS = 0.28
-"""Time before the engine's end at which its runs are stopped at the latest: the rests' copies, and
-one far copy that came between. When the rests miss the end, all that was copied is lost."""
+"""Time between the last pre-copy and the engine's end, beyond that of the final copies: one copy to
+another zone may come in between. A run whose final copy misses the end loses its pre-copy too."""
 
 STOP_AFTER_SECONDS = 0.03
-"""Time between the last first copy and the stop, for the link to be free again."""
+"""Time between the last pre-copy and stopping the runs, for the link to become idle."""
 
 DIRECT_MARGIN_SECONDS = 0.03
-"""Time before the engine's end at which a copy of a stopped run must be over; a round trip."""
+"""Time before the engine's end by which the copy of a run without a pre-copy must be complete; one
+round trip."""
 
 COPY_EACH_SECONDS = 0.015
-"""Time of each copy beside its memory's on the link: setting up, the call and its answer. Of 80
-copies that waited for no other, half took 7 ms (near) and 17 ms (far) more than their memory."""
+"""Overhead of each copy beside the transfer of its memory: set-up, the call and its response."""
 
 STOP_EACH_SECONDS = 0.012
-"""Time that each run's rest takes on the link after it was stopped; measured."""
+"""Time that the final copy of one run takes on the link."""
 
-GROWTH_TOKENS = 1000
-"""Tokens that an engine should have free beyond a run that moves there: what the run may still
-make, and what others there made beyond the half of their limit that is counted for them. With 400
-an engine that seemed to have room for 4050 refused a run of 3600."""
+MIN_HEADROOM_TOKENS = 1000
+"""Free tokens that a destination should have beyond the run's own. Covers tokens that the run still
+generates, and output of other runs there beyond the half of their limit that is counted."""
 
-FAR_FACTOR = 2.0
-"""A copy to another availability zone takes so many times as long."""
+CROSS_ZONE_FACTOR = 2.0
+"""Duration of a copy to another availability zone, relative to one within the zone."""
 
 
 @dataclass(frozen=True)
 class RunSize:
-    """A run as its engine lists it.
+    """A run in its engine's report.
 
-    :param tokens: tokens that it has in memory.
+    :param id: id of the run's request.
+    :param tokens: tokens that it holds in memory.
     """
 
     id: str
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True)
 class Room:
-    """An engine that runs may move to.
+    """A destination engine.
 
     :param near: whether it is in the same availability zone.
-    :param free: tokens of memory that it has left.
+    :param free: free memory in tokens.
     """
 
     id: str
@@ -60,11 +60,12 @@
 
 @dataclass(frozen=True)
 class Slot:
-    """Where a run goes, when its first copy starts and when it is stopped.
+    """The schedule of one run. Times are in seconds from now.
 
-    Times are in seconds from now.
-
-    :param start: nothing for a run that is stopped and copied at once, with a pause for its client.
+    :param to: id of the destination.
+    :param start: start of the pre-copy; ``None`` if the run is stopped and then copied whole, which
+        its client sees as a pause.
+    :param stop: when the run is stopped for its final copy.
     """
 
     to: str
@@ -75,31 +76,31 @@
 def schedule_copies(
     runs: Iterable[RunSize], rooms: Iterable[Room], leaves_in: float, token_seconds: float
 ) -> dict[str, Slot]:
-    """Return a slot for each run that can get off in time.
+    """Return a slot for each run that can be copied in time.
 
-    Small ones go first, so that most get off; near engines are filled before far ones.
+    Small runs are first, which maximises their number; engines in the same zone are filled first.
 
     :param runs: all runs on the engine.
-    :param rooms: the engines they may move to.
+    :param rooms: the possible destinations.
     :param leaves_in: seconds until the engine ends.
-    :param token_seconds: time of one token's memory on the link.
+    :param token_seconds: transfer time of one token's memory within the zone.
     """
     ranked = sorted(runs, key=lambda run: (run.tokens, run.id))
-    rests = STOP_EACH_SECONDS * len(ranked)
-    latest = leaves_in - STOP_MARGIN_SECONDS - rests
-    placed = list(_place_runs(ranked, list(rooms), token_seconds))
+    final_copies = STOP_EACH_SECONDS * len(ranked)
+    latest_end = leaves_in - STOP_MARGIN_SECONDS - final_copies
+    assigned = list(_assign_destinations(ranked, list(rooms), token_seconds))
     starts: dict[str, float] = {}
     clock = 0.0
-    for run, _, seconds in placed:
-        if clock + seconds > latest:
+    for run, _, seconds in assigned:
+        if clock + seconds > latest_end:
             break
         starts[run.id] = clock
         clock += seconds
     stop = clock + STOP_AFTER_SECONDS
-    slots = {r.id: Slot(to, starts[r.id], stop) for r, to, _ in placed if r.id in starts}
-    # What is left of the time goes to runs that pause for their whole copy.
-    clock = stop + rests
-    for run, to, seconds in placed[len(starts) :]:
+    slots = {r.id: Slot(to, starts[r.id], stop) for r, to, _ in assigned if r.id in starts}
+    # The remaining time is used for runs that are stopped before their whole copy.
+    clock = stop + final_copies
+    for run, to, seconds in assigned[len(starts) :]:
         if clock + seconds > leaves_in - DIRECT_MARGIN_SECONDS:
             break
         slots[run.id] = Slot(to, None, clock)
@@ -108,31 +109,36 @@
 
 
 def sum_seconds(runs: Iterable[RunSize], rooms: Iterable[Room], token_seconds: float) -> float:
-    """Return how long the first copies of runs take one after the other.
+    """Return the total duration of the pre-copies of runs, made one at a time.
 
     :param runs: the runs.
-    :param rooms: the engines they may move to.
-    :param token_seconds: time of one token's memory on the link.
+    :param rooms: the possible destinations.
+    :param token_seconds: transfer time of one token's memory within the zone.
     """
-    return sum(seconds for _, _, seconds in _place_runs(list(runs), list(rooms), token_seconds))
+    return sum(
+        seconds for _, _, seconds in _assign_destinations(list(runs), list(rooms), token_seconds)
+    )
 
 
-def _place_runs(
+def _assign_destinations(
     ranked: list[RunSize], rooms: list[Room], token_seconds: float
 ) -> Iterator[tuple[RunSize, str, float]]:
-    """Yield each run with the engine that it goes to and the seconds of its copy."""
+    """Yield each run with its destination's id and the duration of its copy in seconds.
+
+    Ends at the first run for which no destination exists at all.
+    """
     free = {room.id: room for room in rooms}
     for run in ranked:
-        room = _choose_room(free.values(), run.tokens + GROWTH_TOKENS)
+        room = _choose_destination(free.values(), run.tokens + MIN_HEADROOM_TOKENS)
         if room is None:
             return
-        left = room.free - run.tokens - GROWTH_TOKENS
+        left = room.free - run.tokens - MIN_HEADROOM_TOKENS
         free[room.id] = Room(room.id, room.near, left)
-        factor = 1.0 if room.near else FAR_FACTOR
+        factor = 1.0 if room.near else CROSS_ZONE_FACTOR
         yield run, room.id, run.tokens * token_seconds * factor + COPY_EACH_SECONDS
 
 
-def _choose_room(rooms: Iterable[Room], tokens: int) -> Room | None:
-    """Return the near room, else the far one, with the most memory left."""
+def _choose_destination(rooms: Iterable[Room], tokens: int) -> Room | None:
+    """Return a destination: with enough memory if any, then in the same zone, then the freest."""
     ranked = sorted(rooms, key=lambda r: (r.free < tokens, not r.near, -r.free, r.id))
     return ranked[0] if ranked else None
--- a/src/daleroad/draining.py
+++ b/src/daleroad/draining.py
@@ -1,8 +1,7 @@
-"""Which requests a process that will soon end still takes.
+"""Admission while draining: which requests a gateway still accepts before it exits.
 
-A request that is taken is answered whole, or told truthfully what became of it. Where the process
-ends at a known time, that holds only for work that is over by then; everything else is better off
-elsewhere, and at once.
+The exit time is known, so a request is accepted only if it should be complete by then. Others are
+refused at once, so that their clients can go elsewhere.
 """
 
 from dataclasses import dataclass
@@ -18,52 +17,52 @@
 from daleroad.dispatch import Prompt
 from daleroad.routing import Repeat, RouteRule
 
-_CAUTION = 2.0
-"""By how much a need is above what requests take mostly, at the least; both of its parts are."""
+_MIN_ESTIMATE_RATIO = 2.0
+"""Both parts of an estimate are at least so many times what most requests take."""
 
 
 @dataclass(frozen=True)
 class Need:
-    """Time that a request may need, in seconds.
+    """Upper estimate of a request's duration, in seconds.
 
-    :param begin: until its answer begins.
-    :param finish: from then until the answer's end.
+    :param begin: time to the start of the response.
+    :param finish: time from the start to the end of the response.
     """
 
     begin: float
     finish: float
 
     def fits(self, left: float, allowed: float) -> bool:
-        """Return whether a request is over before the process is, also if it takes long.
+        """Return whether a request ends before the process does, even at the full estimate.
 
-        :param left: seconds until the process ends.
-        :param allowed: seconds until the request's client or route ends it.
+        :param left: seconds until the process exits.
+        :param allowed: seconds until the request's deadline.
         """
         return min(self.begin + self.finish, allowed) <= left
 
     def may_fit(self, left: float) -> bool:
-        """Return whether a request that takes no longer than most is over before the process is.
+        """Return whether a request of typical duration ends before the process does.
 
-        :param left: seconds until the process ends.
+        :param left: seconds until the process exits.
         """
-        return (self.begin + self.finish) / _CAUTION <= left
+        return (self.begin + self.finish) / _MIN_ESTIMATE_RATIO <= left
 
     def find_latest_begin(self, ends_at: float) -> float:
-        """Return when an answer must have begun at the latest to be whole, mostly.
+        """Return the latest start of a response that typically ends before the process does.
 
-        :param ends_at: when the process ends.
+        :param ends_at: when the process exits.
         """
-        return ends_at - self.finish / _CAUTION
+        return ends_at - self.finish / _MIN_ESTIMATE_RATIO
 
 
 def estimate_need(route: RouteRule, prompt: Prompt | None, event_tokens: int) -> Need:
-    """Return the time that a request may need; without end where nothing is known of it.
+    """Return the estimated duration of a request; a part without any basis is infinite.
 
-    A stream may pause before each event for as long as its route allows. A fixed time for a token
-    fits some engines only: at 18 ms streams of 20 to 50 ms a token were taken and cut.
+    A stream may pause before each event for as long as its route allows. A fixed time per token is
+    used only without such a limit, because engines differ in speed.
 
-    :param route: its route.
-    :param prompt: what it says of its prompt and output, if anything.
+    :param route: the request's route.
+    :param prompt: the request's prompt and output limit, if it states them.
     :param event_tokens: tokens in one event of a stream.
     """
     begin = DRAIN_OBJECTIVES * route.objective if route.objective else float("inf")
@@ -71,33 +70,34 @@
         return Need(begin, 0.0)
     if prompt is None:
         return Need(begin, float("inf"))
-    token = route.pause / event_tokens if route.pause else DRAIN_TOKEN_SECONDS
-    return Need(begin, prompt.most_output * token)
+    token_seconds = route.pause / event_tokens if route.pause else DRAIN_TOKEN_SECONDS
+    return Need(begin, prompt.most_output * token_seconds)
 
 
 def find_return(left: float, others: int, gateways: int) -> float:
-    """Return when a client that a stopping gateway refuses should come back, in seconds.
+    """Return the Retry-After time in seconds for a request that a draining gateway refuses.
 
-    :param left: seconds until the process ends.
-    :param others: other gateways that take clients.
-    :param gateways: all gateways that are alive.
+    :param left: seconds until the process exits.
+    :param others: number of other gateways that accept clients.
+    :param gateways: number of all gateways that are alive.
     """
     if not others:
         return round(max(0.0, left) + GATEWAY_RESTART_SECONDS, 2)
-    # A client tries an address that it knows. Where most of those stop, it had better ask anew.
+    # Clients retry an address from their last lookup. If most gateways are draining, they should
+    # wait until that lookup has expired.
     return DRAIN_RETRY_SECONDS if 2 * others >= gateways else LOOKUP_KEPT_SECONDS
 
 
 def takes(need: Need, left: float, allowed: float, back: float) -> bool:
-    """Return whether a stopping gateway should take a request.
+    """Return whether a draining gateway should accept a request.
 
-    What may be over in time is taken also where it is not sure, if its client can't come back:
-    clients wait only for a part of their time.
+    One that ends in time only if its duration is typical is accepted if its client could not retry:
+    clients wait for CLIENT_RETURN_SHARE of their remaining time at most.
 
-    :param need: time that it may need.
-    :param left: seconds until the process ends.
-    :param allowed: seconds until the request's client or route ends it.
-    :param back: seconds after which its client could come back.
+    :param need: estimated duration of the request.
+    :param left: seconds until the process exits.
+    :param allowed: seconds until the request's deadline.
+    :param back: Retry-After time in seconds.
     """
     if need.fits(left, allowed):
         return True
--- a/src/daleroad/moving.py
+++ b/src/daleroad/moving.py
@@ -1,8 +1,9 @@
-"""How generations get off an engine that leaves, crashes or resets their connection.
+"""Live migration of generations off engines that shut down, crash or reset a connection.
 
-An engine that leaves gives a notice of seconds. A run's memory is copied while it goes on, and
-shortly before the end it is stopped and the rest is copied. An engine that died gives none; then
-only a backup helps, which the engine sent elsewhere all the while.
+An engine that shuts down announces it seconds ahead. A run's memory is first copied while the run
+continues (pre-copy); shortly before the engine ends the run is stopped and the remainder is copied
+(final copy). An engine that crashes gives no notice; its runs can be resumed only from a backup
+that the engine kept up to date on another engine.
 """
 
 from collections.abc import Container, Iterator
@@ -28,7 +29,7 @@
 
 
 class EngineMover:
-    """Moves the generations of one gateway.
+    """Migrates the generations of one gateway.
 
     :param gateway: the gateway.
     """
@@ -38,7 +39,7 @@
         self._plans: dict[str, Plan] = {}
 
     def begin(self, run: Run) -> None:
-        """Begin to move a run off an engine that leaves.
+        """Start to migrate a run off an engine that is shutting down.
 
         :param run: the run.
         """
@@ -48,10 +49,10 @@
         if not service.engine.moves:
             return
         run.moving = True
-        self._gateway.spawn(self._move, run)
+        self._gateway.spawn(self._run_migration, run)
 
     async def continue_cut(self, run: Run) -> Continuation | None:
-        """Return where a run whose stream was cut can go on, if anywhere.
+        """Return the engine that can resume a run whose stream was cut, if there is one.
 
         :param run: the run.
         """
@@ -59,12 +60,13 @@
             await run.settled.wait()
         if run.continuation is not None:
             return run.continuation
-        return await self._rescue(run)
+        return await self._recover_cut_run(run)
 
-    async def _rescue(self, run: Run) -> Continuation | None:
-        """Go on after a cut without notice: the engine may be dead, or only the connection.
+    async def _recover_cut_run(self, run: Run) -> Continuation | None:
+        """Find an engine to resume on after a cut without notice.
 
-        An engine that still works is stopped first, or two engines would make one generation.
+        The engine may have crashed, or only the connection may be broken. A final copy stops the
+        run on an engine that still works, so that two engines do not run it at once.
         """
         service = self._gateway.get_service(run.attempt.instance.service)
         if service is None or service.engine is None or not service.engine.moves:
@@ -73,61 +75,66 @@
         destination = backup or self._pick_destination(run, {run.attempt.instance.id})
         if destination is None:
             return None
-        copied = await self._copy(run, destination, final=True)
-        if isinstance(copied, Copied):
-            return self._make_continuation(run, destination, copied)
-        self._log_not_copied(run, destination.id, copied.reason)
-        if backup is None or copied.fault is CopyFault.BUSY:
+        result = await self._copy(run, destination, final=True)
+        if isinstance(result, Copied):
+            return self._make_continuation(run, destination, result)
+        self._log_copy_failure(run, destination.id, result.reason)
+        if backup is None or result.fault is CopyFault.BUSY:
             return None
-        # A backup bears the request's own id as its handle.
+        # The handle of a backup is the request's id.
         source = Source(backup.address, run.attempt.job.id, run.last_event)
         return Continuation(backup, source)
 
-    async def _move(self, run: Run) -> None:
+    async def _run_migration(self, run: Run) -> None:
         try:
-            await self._get_off(run)
+            await self._migrate(run)
         finally:
             run.settled.set()
 
-    async def _get_off(self, run: Run) -> None:
-        """Copy while the run goes on; stop it for the rest shortly before its engine ends."""
+    async def _migrate(self, run: Run) -> None:
+        """Copy a run off its engine by the engine's plan, retrying after failures that may pass."""
         origin = run.attempt.instance
         plan = await self._find_plan(origin, run.attempt.job.id)
         excluded = {origin.id}
-        while not run.ended and not self._ends_soon(run):
-            destination = self._get_planned(run, plan, excluded)
+        while not run.ended and not self._will_end_soon(run):
+            destination = self._get_planned_destination(run, plan, excluded)
             destination = destination or self._pick_destination(run, excluded)
             if destination is None:
-                self._log_not_copied(run, "", "no destination")
+                self._log_copy_failure(run, "", "no destination")
                 return
-            copied = await self._copy_twice(run, destination, plan)
-            match copied:
+            result = await self._copy_in_two_steps(run, destination, plan)
+            match result:
                 case Copied():
-                    run.continuation = self._make_continuation(run, destination, copied)
+                    run.continuation = self._make_continuation(run, destination, result)
                     return
                 case NotCopied(reason, fault):
-                    self._log_not_copied(run, destination.id, reason)
+                    self._log_copy_failure(run, destination.id, reason)
                     if fault is CopyFault.UNREACHABLE:
                         return
                     if fault is CopyFault.NO_ROOM:
-                        # Another engine may have room. The run's turn is over, though: what it does
-                        # now would hold up the others.
+                        # Another engine may have enough memory, but the run's slot has passed: a
+                        # copy now would delay the others, so it goes into the late plan.
                         excluded.add(destination.id)
                         plan = await self._find_late_plan(plan, origin)
                         continue
             await anyio.sleep(MOVE_RETRY_SECONDS)
 
-    async def _copy_twice(self, run: Run, destination: Instance, plan: Plan) -> Copied | NotCopied:
-        """Copy in the run's turn, then stop it; without a turn, copy only after the others."""
+    async def _copy_in_two_steps(
+        self, run: Run, destination: Instance, plan: Plan
+    ) -> Copied | NotCopied:
+        """Pre-copy a run in its slot, then make the final copy; without a slot, after the others.
+
+        A slot without a start time has a final copy only.
+        """
         job = run.attempt.job
         self._gateway.loads.add(destination, 1, run.tokens)
         try:
             slot = plan.slots.get(job.id)
             if slot is None or slot.start is not None:
                 await anyio.sleep_until(plan.get_start(job.id))
-                first = await self._copy(run, destination, final=False)
-                if isinstance(first, NotCopied):
-                    return first
+                pre_copy = await self._copy(run, destination, final=False)
+                if isinstance(pre_copy, NotCopied):
+                    return pre_copy
                 await plan.extended.wait()
             await anyio.sleep_until(plan.get_stop(job.id))
             return await self._copy(run, destination, final=True)
@@ -135,7 +142,7 @@
             self._gateway.loads.add(destination, -1, -run.tokens)
 
     async def _find_plan(self, origin: Instance, run_id: str) -> Plan:
-        """Return the plan in which a run has its turn; each is made once."""
+        """Return the plan in which a run has its slot; an engine's plan is made once."""
         plan = self._plans.get(origin.id)
         if plan is None:
             self._drop_old_plans()
@@ -151,7 +158,7 @@
         return await self._find_late_plan(plan, origin)
 
     async def _find_late_plan(self, plan: Plan, origin: Instance) -> Plan:
-        """Return the plan for runs that have no turn, or lost it; each is made once."""
+        """Return the plan for runs that have no slot or missed it; a plan has one late plan."""
         if not plan.known:
             return plan
         if plan.late is None:
@@ -162,10 +169,10 @@
 
     def _drop_old_plans(self) -> None:
         oldest = anyio.current_time() - GONE_KEPT_SECONDS
-        self._plans = {name: p for name, p in self._plans.items() if p.noticed_at > oldest}
+        self._plans = {id_: plan for id_, plan in self._plans.items() if plan.noticed_at > oldest}
 
     async def _make_plan(self, plan: Plan, origin: Instance, run_id: str) -> None:
-        report = await self._ask_report(origin)
+        report = await self._fetch_report(origin)
         if report is not None:
             self._fill_plan(plan, origin, report, report.runs)
             if plan.made_at - plan.noticed_at < LATE_PLAN_SECONDS:
@@ -177,11 +184,11 @@
         self._gateway.spawn(self._extend_plan, plan, origin)
 
     async def _make_late_plan(self, plan: Plan, late: Plan, origin: Instance) -> None:
-        """Give turns to the runs that are left when those of a plan are gone."""
-        # A report that is asked for sooner does not list them yet.
+        """Schedule the remaining runs once those of the plan have been copied."""
+        # A report requested earlier may not list these runs yet.
         listed_at = plan.noticed_at + REPORT_AGAIN_SECONDS
         await anyio.sleep_until(max(plan.busy_until, listed_at))
-        report = await self._ask_report(origin)
+        report = await self._fetch_report(origin)
         if report is not None:
             self._fill_plan(late, origin, report, plan.list_late(report.runs))
             late.schedule()
@@ -189,7 +196,7 @@
         late.ready.set()
         late.extended.set()
 
-    async def _ask_report(self, origin: Instance) -> EngineReport | None:
+    async def _fetch_report(self, origin: Instance) -> EngineReport | None:
         report = await self._gateway.dispatcher.report(origin)
         if isinstance(report, Failure):
             log_event(Event.REPORT_FAILED, upstream=origin.id, reason=report.reason)
@@ -201,21 +208,23 @@
     ) -> None:
         service = self._gateway.get_service(origin.service)
         if service is None or service.engine is None:
-            log_event(Event.REPORT_FAILED, upstream=origin.id, reason="no such service any more")
+            log_event(
+                Event.REPORT_FAILED, upstream=origin.id, reason="service is no longer configured"
+            )
             return
         plan.known = True
         plan.made_at = anyio.current_time()
         plan.runs = runs
-        plan.rooms = tuple(self._list_rooms(origin, service))
+        plan.rooms = tuple(self._list_destinations(origin, service))
         plan.token_seconds = service.engine.token_seconds
         plan.note_leaves_in(report.leaves_in, plan.made_at)
 
     async def _extend_plan(self, plan: Plan, origin: Instance) -> None:
-        """Ask once more when the engine ends, if not all runs have a turn; reports are stale."""
+        """Ask again when the engine ends if some runs have no slot; the first report may be old."""
         try:
             if plan.slots and len(plan.slots) < len(plan.runs):
                 await anyio.sleep_until(plan.noticed_at + REPORT_AGAIN_SECONDS)
-                report = await self._ask_report(origin)
+                report = await self._fetch_report(origin)
                 if report is None:
                     return
                 plan.note_leaves_in(report.leaves_in, anyio.current_time())
@@ -236,26 +245,28 @@
             rooms=[(room.id, room.near, int(room.free)) for room in plan.rooms],
         )
 
-    def _list_rooms(self, origin: Instance, service: ServiceRule) -> Iterator[Room]:
+    def _list_destinations(self, origin: Instance, service: ServiceRule) -> Iterator[Room]:
         memory = service.engine.memory_tokens if service.engine else 0
         for candidate in self._gateway.chooser.list_candidates(service, 0, {origin.id}):
-            other = candidate.instance
-            free = memory - self._gateway.loads.get_total(other.id).tokens
+            engine = candidate.instance
+            free = memory - self._gateway.loads.get_total(engine.id).tokens
             if not candidate.doubtful and not candidate.overdue:
-                yield Room(other.id, other.zone == origin.zone, free)
+                yield Room(engine.id, engine.zone == origin.zone, free)
 
-    def _get_planned(self, run: Run, plan: Plan, excluded: Container[str]) -> Instance | None:
-        """Return the engine that the schedule names for a run, if it still takes work."""
+    def _get_planned_destination(
+        self, run: Run, plan: Plan, excluded: Container[str]
+    ) -> Instance | None:
+        """Return the engine that the schedule names for a run, if it is still ready."""
         slot = plan.slots.get(run.attempt.job.id)
-        known = self._gateway.fleet.get(slot.to) if slot and slot.to not in excluded else None
-        return known if known is not None and known.state is InstanceState.READY else None
+        named = self._gateway.fleet.get(slot.to) if slot and slot.to not in excluded else None
+        return named if named is not None and named.state is InstanceState.READY else None
 
     async def _copy(self, run: Run, destination: Instance, final: bool) -> Copied | NotCopied:
         job = run.attempt.job
         origin = run.attempt.instance
-        began = anyio.current_time()
-        copied = await self._gateway.dispatcher.copy(job, origin, destination, final)
-        if isinstance(copied, Copied):
+        started_at = anyio.current_time()
+        result = await self._gateway.dispatcher.copy(job, origin, destination, final)
+        if isinstance(result, Copied):
             log_event(
                 Event.STREAM_COPIED,
                 request=job.id,
@@ -264,18 +275,18 @@
                 zones=f"{origin.zone}>{destination.zone}",
                 backup=run.backup is not None and run.backup.id == destination.id,
                 final=final,
-                made=copied.made,
+                made=result.made,
                 delivered=run.last_event,
-                seconds=round(anyio.current_time() - began, 3),
+                seconds=round(anyio.current_time() - started_at, 3),
             )
-        return copied
+        return result
 
     def _make_continuation(self, run: Run, to: Instance, copied: Copied) -> Continuation:
         source = Source(run.attempt.instance.address, copied.handle, run.last_event)
         return Continuation(to, source)
 
     def _get_live_backup(self, run: Run) -> Instance | None:
-        """Return the engine with a run's backup if it takes work."""
+        """Return the engine with a run's backup, if it is ready and may be sent requests."""
         if run.backup is None:
             return None
         known = self._gateway.fleet.get(run.backup.id)
@@ -283,7 +294,7 @@
             return None
         return None if self._gateway.guard.find_closed(known) else known
 
-    def _ends_soon(self, run: Run) -> bool:
+    def _will_end_soon(self, run: Run) -> bool:
         prompt = run.attempt.job.prompt
         return prompt is not None and prompt.ends_soon()
 
@@ -294,11 +305,11 @@
         if service is None:
             return None
         candidates = gateway.chooser.list_candidates(service, run.tokens, excluded)
-        # A copy to another availability zone takes twice as long, and time is short.
+        # A copy to another availability zone takes about twice as long.
         found = pick_upstream(candidates, origin.zone, gateway.random, COPY_ZONE_BONUS)
         if found is None:
             return gateway.chooser.pick_limited(service, run.tokens, excluded)
         return found.instance
 
-    def _log_not_copied(self, run: Run, to: str, reason: str) -> None:
+    def _log_copy_failure(self, run: Run, to: str, reason: str) -> None:
         log_event(Event.MOVE_FAILED, request=run.attempt.job.id, to=to, reason=reason)
