--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,15 +1,7 @@
-"""Tests of gateways that stop: what they still take, and that what they take gets an answer.
-
-The failure behind the first test. Users saw a long generation end in the middle. A gateway got
-SIGTERM; coordinators stopped naming it within 0.2 s, but a client may keep an older lookup for
-seconds, and one came 3.3 s later with a prompt whose output could take 2,216 tokens. The gateway
-sent it to an engine, passed on 111 events, and closed the connection 7.65 s after the signal,
-shortly before it would have been killed. Cause: it took whatever came, however little time it had.
-
-The evidence: three streams of that gateway ended within a millisecond, 3 ms before the process did,
-while their engines were at work and no pause was longer than 0.06 s. With ends told apart in the
-log, such streams end by their gateway's own stop, and their requests say how little time was left:
-one of six in a run of rolled stops came with 7.15 s left and was cut after 7.5 s.
+"""Tests of draining gateways: which requests they accept, and that each one gets a response.
+
+Guards against streams that are accepted after SIGTERM, from clients with an older lookup, and then
+cut when the process exits because too little time was left.
 """
 
 import sys
@@ -60,7 +52,7 @@
 IP = "127.0.3.7"
 GRACE_SECONDS = 2.7
 TOKEN_SECONDS = 0.018
-"""Longest pause that the route allows; an event is a token here."""
+"""Longest pause that the route allows; each event is one token in these tests."""
 
 EVENT_SECONDS = 0.05
 LONG_EVENTS = 200
@@ -68,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What a client got, and when it ended."""
+    """The response that a client received, and when it ended."""
 
     status: int
     headers: dict[str, str]
@@ -85,28 +77,28 @@
             yield piece
 
 
-def make_route(repeat: Repeat = Repeat.STREAM) -> RoutingConfig:
-    """Return a configuration with one route, whose requests may take long."""
+def make_slow_config(repeat: Repeat = Repeat.STREAM) -> RoutingConfig:
+    """Return a configuration with one route that has a long timeout."""
     config = make_config(repeat, engine=repeat is Repeat.STREAM)
     route = replace(config.routes[0], timeout=39.0, pause=TOKEN_SECONDS)
     return replace(config, routes=(route,))
 
 
-class StoppingGatewayTest(unittest.TestCase):
+class DrainingGatewayTest(unittest.TestCase):
     def setUp(self) -> None:
         self.dispatcher = FakeDispatcher()
-        self.kept = 5.0
+        self.lookup_seconds = 5.0
         self.stopped_at = 0.0
 
     async def run_gateway(self, tasks: TaskGroup, stopping: anyio.Event) -> GatewayProcess:
-        """Run a gateway that knows three upstreams; return it once it takes clients."""
+        """Start a gateway with three upstreams; return it once it accepts connections."""
         listen = {"frontend": f"{IP}:18742", "readiness": f"{IP}:18749"}
         raw = {"node_name": "n", "ip": IP, "zone": "z", "region": "r", "listen": listen}
-        bounds = {"grace_s": GRACE_SECONDS, "ttl_max_s": self.kept}
+        bounds = {"grace_s": GRACE_SECONDS, "ttl_max_s": self.lookup_seconds}
         raw |= {"internal_ports": [17200, 17215], "bounds": bounds}
         process = GatewayProcess(read_node(raw), ChannelCalls("secret"), 19465)
         process.gateway.dispatcher = self.dispatcher
-        process.gateway.replace_config(make_route())
+        process.gateway.replace_config(make_slow_config())
         for number in (1, 2, 3):
             sighting = Sighting(make_instance(number), 0.0)
             process.gateway.fleet.note(sighting, anyio.current_time())
@@ -119,7 +111,7 @@
                 await anyio.sleep(0.02)
 
     async def ask(self, most_output: int) -> Answer:
-        """Send one prompt on a new connection and read its answer to the end."""
+        """Send one prompt on a new connection and read its response to the end."""
         headers = {
             wire.ATTEMPT_ID.decode(): "a1",
             wire.TOKENS.decode(): f"3000,{most_output}",
@@ -138,8 +130,10 @@
                 answer = replace(answer, whole=True)
         return replace(answer, ended_at=anyio.current_time())
 
-    def play(self, stream: FakeStream, most_output: int, *, after: float | None) -> Answer:
-        """Ask for one stream some seconds after the gateway is told to stop, or before."""
+    def request_stream(
+        self, stream: FakeStream, most_output: int, *, after: float | None
+    ) -> Answer:
+        """Request one stream ``after`` seconds into a drain, or before the drain if ``None``."""
         self.dispatcher.replies = [stream]
         found: list[Answer] = []
 
@@ -155,43 +149,43 @@
                     await process.drain()
                     stopping.set()
 
-                async def come() -> None:
+                async def send_request() -> None:
                     await anyio.sleep(after or 0.0)
                     found.append(await self.ask(most_output))
 
                 async with anyio.create_task_group() as both:
                     both.start_soon(stop)
-                    both.start_soon(come)
+                    both.start_soon(send_request)
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
         return found[0]
 
-    def test_a_long_generation_that_comes_after_the_signal_is_not_begun_and_cut(self) -> None:
-        answer = self.play(PacedStream(1, LONG_EVENTS), 2216, after=GRACE_SECONDS / 3)
+    def test_long_generation_after_the_signal_is_refused(self) -> None:
+        answer = self.request_stream(PacedStream(1, LONG_EVENTS), 2216, after=GRACE_SECONDS / 3)
         self.assertEqual((answer.status, answer.whole), (503, True))
         self.assertEqual(answer.headers["retry-after"], "0")
         self.assertEqual(answer.headers["connection"], "close")
         self.assertEqual(self.dispatcher.attempts, [])
 
-    def test_a_short_generation_that_comes_after_the_signal_is_whole(self) -> None:
-        answer = self.play(PacedStream(1, 4), 16, after=0.2)
+    def test_short_generation_after_the_signal_is_complete(self) -> None:
+        answer = self.request_stream(PacedStream(1, 4), 16, after=0.2)
         self.assertEqual((answer.status, answer.whole), (200, True))
         self.assertEqual(answer.headers["connection"], "close")
 
-    def test_a_short_generation_that_comes_too_late_is_refused(self) -> None:
-        # 120 tokens and two objectives take 2.56 s at the worst; 2.3 s are there, 2.1 s are left.
-        answer = self.play(PacedStream(1, 4), 120, after=0.2)
+    def test_short_generation_too_close_to_the_exit_is_refused(self) -> None:
+        # 120 tokens and two objectives are estimated at 2.56 s; 2.1 of 2.3 s are left.
+        answer = self.request_stream(PacedStream(1, 4), 120, after=0.2)
         self.assertEqual((answer.status, answer.whole), (503, True))
 
-    def test_a_drain_waits_for_a_stream_that_is_over_in_time(self) -> None:
-        # With nothing open it would be over after 0.45 s.
-        self.kept = 0.05
-        answer = self.play(PacedStream(1, 24), 96, after=None)
+    def test_drain_waits_for_a_stream_that_ends_in_time(self) -> None:
+        # Without open requests the drain would end after 0.45 s.
+        self.lookup_seconds = 0.05
+        answer = self.request_stream(PacedStream(1, 24), 96, after=None)
         self.assertEqual((answer.status, answer.whole), (200, True))
 
-    def test_a_drain_that_is_over_early_takes_nothing_more(self) -> None:
-        self.kept = 0.05
+    def test_drain_that_ended_early_accepts_no_requests(self) -> None:
+        self.lookup_seconds = 0.05
         self.dispatcher.replies = [PacedStream(1, 4)]
         found: list[Answer] = []
 
@@ -208,17 +202,17 @@
         self.assertEqual((found[0].status, found[0].whole), (503, True))
         self.assertEqual(self.dispatcher.attempts, [])
 
-    def test_a_stream_that_outlasts_the_process_is_cut_at_its_end_and_the_log_says_so(self) -> None:
+    def test_stream_cut_by_the_exit_is_logged_as_such(self) -> None:
         with patch("daleroad.runs.log_event") as log:
-            answer = self.play(PacedStream(1, LONG_EVENTS), 2216, after=None)
+            answer = self.request_stream(PacedStream(1, LONG_EVENTS), 2216, after=None)
         self.assertEqual((answer.status, answer.whole), (200, False))
         self.assertGreater(answer.ended_at - self.stopped_at, GRACE_SECONDS - 0.7)
         self.assertLess(answer.ended_at - self.stopped_at, GRACE_SECONDS)
         self.assertEqual(log.call_args.kwargs["outcome"], StreamEnd.STOP.value)
 
 
-class TakeTest(unittest.TestCase):
-    """Serve or refuse, by the time that is left, the route and what is known of the length."""
+class AdmissionTest(unittest.TestCase):
+    """Accept or refuse, by the time left, the route and the expected length of the response."""
 
     short, long = Prompt((), 2200, 48), Prompt((), 3000, 2216)
 
@@ -235,53 +229,53 @@
         route = replace(make_config(repeat).routes[0], objective=objective, pause=0.18)
         return takes(estimate_need(route, prompt, 4), left, allowed, back)
 
-    def test_streams_are_taken_if_their_longest_output_is_over_in_time(self) -> None:
+    def test_stream_is_accepted_if_its_longest_output_ends_in_time(self) -> None:
         cases = [
-            # prompt, objective, time of the client, seconds left: taken
+            # prompt, objective, seconds to the client's deadline, seconds left, accepted
             (self.long, 1.8, 39.0, 7.6, False),
-            # A pause of 0.18 s before each four of 2,216 tokens.
+            # A pause of 0.18 s before each event of four tokens, for 2,216 tokens.
             (self.long, 1.8, 110.0, 103.0, False),
             (self.long, 1.8, 110.0, 104.0, True),
             (self.short, 1.5, 6.0, 7.6, True),
             (self.short, 1.5, 6.0, 5.2, True),
             (self.short, 1.5, 6.0, 5.1, False),
-            # A length that is not known may take all the time that its client has.
+            # A stream of unknown length may last until the client's deadline.
             (None, 1.5, 6.0, 6.1, True),
             (None, 1.5, 6.0, 5.9, False),
-            # So may an answer whose route says nothing of how soon it should begin.
+            # So may a response on a route without an objective.
             (self.short, 0.0, 6.0, 5.9, False),
-            # Nothing needs more than its client's own time.
+            # No request lasts longer than until the client's deadline.
             (self.long, 1.8, 1.0, 1.1, True),
         ]
-        for prompt, objective, allowed, left, taken in cases:
+        for prompt, objective, allowed, left, accepted in cases:
             with self.subTest(prompt=prompt, allowed=allowed, left=left):
                 found = self.takes(
                     Repeat.STREAM, prompt, objective=objective, allowed=allowed, left=left
                 )
-                self.assertIs(found, taken)
+                self.assertIs(found, accepted)
 
-    def test_a_stream_may_take_as_long_as_its_route_allows_pauses(self) -> None:
-        # The soak found streams of 20 to 50 ms a token that were taken at 18 ms a token, and cut.
+    def test_stream_estimate_follows_the_pause_limit_of_the_route(self) -> None:
+        # Guards against streams that are slower than a fixed time per token, accepted and then cut.
         route = make_config(Repeat.STREAM).routes[0]
         for pause, event_tokens, seconds in ((0.18, 1, 8.64), (0.18, 4, 2.16), (0.0, 4, 0.864)):
             with self.subTest(pause=pause, event_tokens=event_tokens):
                 need = estimate_need(replace(route, pause=pause), self.short, event_tokens)
                 self.assertAlmostEqual(need.finish, seconds)
 
-    def test_whole_answers_are_taken_if_two_objectives_are_left(self) -> None:
+    def test_request_without_a_stream_is_accepted_if_two_objectives_are_left(self) -> None:
         cases = [(0.2, 1.5, 0.5, True), (0.2, 1.5, 0.3, False), (2.0, 1.0, 1.1, True)]
         cases += [(0.0, 1.5, 1.4, False), (0.0, 1.5, 1.6, True), (0.2, 1.5, 0.0, False)]
         for repeat in (Repeat.ONCE, Repeat.IDEMPOTENT):
-            for objective, allowed, left, taken in cases:
+            for objective, allowed, left, accepted in cases:
                 with self.subTest(repeat=repeat, objective=objective, left=left):
                     found = self.takes(
                         repeat, None, objective=objective, allowed=allowed, left=left
                     )
-                    self.assertIs(found, taken)
+                    self.assertIs(found, accepted)
 
-    def test_what_cannot_come_back_in_time_is_taken_if_most_like_it_are_over(self) -> None:
+    def test_request_that_cannot_be_retried_is_accepted_at_typical_duration(self) -> None:
         short = {"objective": 1.5, "allowed": 6.0}
-        # Clients wait for a third of their six seconds.
+        # Clients wait before a retry for up to a third of their six seconds.
         self.assertFalse(self.takes(Repeat.STREAM, self.short, left=3.0, back=1.9, **short))
         self.assertTrue(self.takes(Repeat.STREAM, self.short, left=3.0, back=2.1, **short))
         self.assertFalse(self.takes(Repeat.STREAM, self.short, left=1.9, back=2.1, **short))
@@ -289,20 +283,20 @@
         self.assertFalse(self.takes(Repeat.STREAM, self.long, **long))
         self.assertFalse(self.takes(Repeat.STREAM, None, **long))
 
-    def test_when_to_come_back_depends_on_who_else_serves(self) -> None:
+    def test_retry_after_depends_on_the_other_gateways(self) -> None:
         self.assertEqual(find_return(7.0, others=6, gateways=12), 0.0)
         self.assertEqual(find_return(7.0, others=5, gateways=12), LOOKUP_KEPT_SECONDS)
         self.assertEqual(find_return(7.0, others=0, gateways=12), 7.0 + GATEWAY_RESTART_SECONDS)
         self.assertEqual(find_return(-1.0, others=0, gateways=1), GATEWAY_RESTART_SECONDS)
 
 
-class StoppingForwarderTest(unittest.TestCase):
-    """What happens at the end to requests of each kind, in virtual time."""
+class DrainingForwarderTest(unittest.TestCase):
+    """Requests of each kind during a drain, in virtual time."""
 
     def setUp(self) -> None:
         self.dispatcher = FakeDispatcher()
         self.others = 1
-        self.blamed: list[str] = []
+        self.failed_ids: list[str] = []
 
     def serve(
         self,
@@ -313,7 +307,7 @@
         most: int = 0,
         resumable: bool = False,
     ) -> Outcome:
-        """Serve one request; at a time the gateway is told to stop within some seconds."""
+        """Serve one request; a drain starts at ``stop_at``, with ``left`` seconds to the exit."""
 
         async def main() -> Outcome:
             now = anyio.current_time()
@@ -322,7 +316,7 @@
             config = replace(config, routes=(route,))
             self.gateway = make_gateway(self.dispatcher, config, now)
             chooser = self.gateway.chooser
-            chooser.note_result = lambda instance, ok: ok or self.blamed.append(instance.id)
+            chooser.note_result = lambda instance, ok: ok or self.failed_ids.append(instance.id)
             runs = Runs(self.gateway, EngineMover(self.gateway))
             forwarder = Forwarder(self.gateway, runs, RequestMetrics(Metrics()))
             prompt = Prompt((), 3000, most) if most else None
@@ -348,28 +342,28 @@
         self.assertEqual((outcome.kind, outcome.ran), (FailureKind.DRAINING, Ran.NO))
         self.assertEqual(outcome.retry_after, 0.0)
 
-    def test_what_fits_is_served_to_the_last(self) -> None:
+    def test_request_that_fits_is_served(self) -> None:
         self.dispatcher.replies = [WHOLE]
         self.assertEqual(self.serve(Repeat.ONCE, stop_at=0.0, left=0.51), WHOLE)
         self.dispatcher.replies = [FakeStream(1, 3)]
         self.assertIsInstance(self.serve(Repeat.STREAM, stop_at=0.0, left=1.5, most=48), Flow)
 
-    def test_what_does_not_fit_is_refused_at_once_and_reaches_no_upstream(self) -> None:
+    def test_request_that_does_not_fit_is_refused_at_once_without_an_attempt(self) -> None:
         for repeat, most in ((Repeat.STREAM, 2000), (Repeat.ONCE, 0), (Repeat.IDEMPOTENT, 0)):
             with self.subTest(repeat):
                 self.check_refused(self.serve(repeat, stop_at=0.0, left=0.3, most=most))
                 self.assertEqual(self.dispatcher.attempts, [])
                 self.assertLess(self.seconds, 0.01)
 
-    def test_where_no_other_gateway_takes_clients_they_come_back_after_the_restart(self) -> None:
+    def test_retry_after_covers_the_restart_without_other_gateways(self) -> None:
         self.others = 0
         outcome = self.serve(Repeat.STREAM, stop_at=0.0, left=3.0, most=2000)
         assert isinstance(outcome, Failure)
         left = 2.999 - LAST_ANSWER_SECONDS
         self.assertEqual(outcome.retry_after, round(left + GATEWAY_RESTART_SECONDS, 2))
 
-    def test_what_waits_when_the_process_ends_is_told_that_it_may_have_run(self) -> None:
-        # It came before the signal; an upstream that does not answer would be borne for 20 s.
+    def test_request_waiting_at_the_exit_may_have_run(self) -> None:
+        # The request arrives before the signal; its own timeout would be 20 s.
         self.dispatcher.on_send = anyio.sleep_forever
         for repeat, most in ((Repeat.STREAM, 2000), (Repeat.ONCE, 0), (Repeat.IDEMPOTENT, 0)):
             with self.subTest(repeat):
@@ -378,17 +372,17 @@
                 self.assertEqual((outcome.kind, outcome.ran), (FailureKind.DRAINING, Ran.UNKNOWN))
                 self.assertAlmostEqual(self.seconds, 8.3 - LAST_ANSWER_SECONDS, delta=0.01)
                 self.assertEqual(self.gateway.loads.list_own(), ())
-                self.assertEqual(self.blamed, [])
+                self.assertEqual(self.failed_ids, [])
 
-    def test_a_stream_that_begins_too_late_to_end_is_not_begun(self) -> None:
+    def test_stream_that_would_start_too_late_is_not_started(self) -> None:
         self.dispatcher.on_send = anyio.sleep_forever
         outcome = self.serve(Repeat.STREAM, stop_at=0.0, left=5.0, most=200)
         assert isinstance(outcome, Failure)
         self.assertEqual((outcome.kind, outcome.ran), (FailureKind.DRAINING, Ran.UNKNOWN))
-        # 200 tokens take 1.8 s mostly, and the last 0.1 s are kept to say what became of it.
+        # 200 tokens typically take 1.8 s, and the last 0.1 s are reserved for sending the failure.
         self.assertAlmostEqual(self.seconds, 3.1, delta=0.01)
 
-    def test_what_no_upstream_ran_before_the_signal_is_refused_as_not_run(self) -> None:
+    def test_request_refused_by_its_upstream_after_the_signal_did_not_run(self) -> None:
         async def wait() -> None:
             await anyio.sleep(2.0)
 
@@ -397,11 +391,11 @@
         self.check_refused(self.serve(Repeat.STREAM, stop_at=1.0, left=7.3, most=2000))
         self.assertEqual(len(self.dispatcher.attempts), 1)
 
-    def test_what_may_have_run_is_never_refused_as_not_run(self) -> None:
+    def test_request_that_may_have_run_is_not_reported_as_not_run(self) -> None:
         async def wait() -> None:
             await anyio.sleep(2.0)
 
-        # The first upstream may have run it; another is asked with the little time that is left.
+        # The first upstream may have run it; another is tried in the short time that is left.
         self.dispatcher.on_send = wait
         self.dispatcher.replies = [Lost("reset")]
         outcome = self.serve(Repeat.IDEMPOTENT, stop_at=0.0, left=2.2)
@@ -409,7 +403,7 @@
         self.assertIs(outcome.ran, Ran.UNKNOWN)
         self.assertEqual(len(self.dispatcher.attempts), 2)
 
-    def test_a_stream_that_may_run_again_is_not_begun_again_too_late_to_end(self) -> None:
+    def test_resumable_stream_is_not_restarted_too_late_to_end(self) -> None:
         async def wait() -> None:
             await anyio.sleep(2.0)
 
@@ -420,7 +414,7 @@
         self.assertIs(outcome.ran, Ran.UNKNOWN)
         self.assertEqual(len(self.dispatcher.attempts), 1)
 
-    def test_a_gateway_that_drains_takes_no_new_clients(self) -> None:
+    def test_draining_gateway_is_not_ready(self) -> None:
         self.dispatcher.replies = [WHOLE]
         self.serve(Repeat.ONCE, stop_at=0.0, left=1.0)
         self.assertFalse(self.gateway.is_ready())
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of one request's way: what is sent again, what never is, and what is answered."""
+"""Tests of request forwarding: which requests are retried, and what the client receives."""
 
 import unittest
 from dataclasses import replace
@@ -40,21 +40,21 @@
             now = anyio.current_time()
             self.gateway = make_gateway(dispatcher, config, now)
             metrics = RequestMetrics(Metrics())
-            self.left: list[str] = []
-            self.gateway.on_leaving = lambda instance: self.left.append(instance.id)
+            self.leaving_ids: list[str] = []
+            self.gateway.on_leaving = lambda instance: self.leaving_ids.append(instance.id)
             runs = Runs(self.gateway, EngineMover(self.gateway))
             forwarder = Forwarder(self.gateway, runs, metrics)
             return await forwarder.serve(replace(make_job(now), key=key))
 
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_an_answer_passes_as_it_is(self) -> None:
+    def test_response_is_passed_on_unchanged(self) -> None:
         dispatcher = FakeDispatcher(WHOLE)
         self.assertEqual(self.serve(dispatcher, make_config(Repeat.ONCE)), WHOLE)
         self.assertEqual(len(dispatcher.attempts), 1)
         self.assertEqual(self.gateway.loads.list_own(), ())
 
-    def test_what_may_have_run_is_never_sent_again_unless_idempotent(self) -> None:
+    def test_lost_request_is_not_retried_unless_idempotent(self) -> None:
         for repeat in (Repeat.ONCE, Repeat.STREAM):
             with self.subTest(repeat):
                 dispatcher = FakeDispatcher(Lost("reset"), WHOLE)
@@ -64,7 +64,7 @@
                 self.assertIs(outcome.kind, FailureKind.UPSTREAM_LOST)
                 self.assertEqual(len(dispatcher.attempts), 1)
 
-    def test_a_stream_that_may_resume_begins_at_another_upstream_after_a_loss(self) -> None:
+    def test_resumable_stream_starts_on_another_upstream_after_a_failure(self) -> None:
         for first in (Lost("reset"), ERROR):
             with self.subTest(first):
                 dispatcher = FakeDispatcher(first, FakeStream(1, 2))
@@ -72,7 +72,7 @@
                 self.assertIsInstance(self.serve(dispatcher, config), Flow)
                 self.assertEqual(len({a.instance.id for a in dispatcher.attempts}), 2)
 
-    def test_only_streams_get_a_connection_of_their_own(self) -> None:
+    def test_only_streams_use_their_own_connection(self) -> None:
         for repeat in Repeat:
             with self.subTest(repeat):
                 dispatcher = FakeDispatcher(WHOLE)
@@ -80,14 +80,12 @@
                 (attempt,) = dispatcher.attempts
                 self.assertEqual(attempt.own_connection, repeat is Repeat.STREAM)
 
-    def test_silence_is_borne_as_long_as_the_client_bears_it_where_nothing_else_can_be_done(
-        self,
-    ) -> None:
+    def test_silence_limit_of_a_stream_that_cannot_resume_is_its_clients_limit(self) -> None:
         expected = {
             (Repeat.IDEMPOTENT, False): SILENCE_SECONDS,
             (Repeat.ONCE, False): SILENCE_SECONDS,
             (Repeat.STREAM, True): SILENCE_SECONDS,
-            # Four objectives, which are longer than two seconds and eight pauses.
+            # Four objectives: the longest of two seconds, four objectives and eight pauses.
             (Repeat.STREAM, False): 7.2,
         }
         for (repeat, resumable), silence in expected.items():
@@ -98,26 +96,26 @@
                 self.serve(dispatcher, replace(config, routes=(route,)))
                 self.assertAlmostEqual(dispatcher.attempts[0].silence, silence)
 
-    def test_an_idempotent_request_goes_to_another_upstream(self) -> None:
+    def test_idempotent_request_is_retried_on_another_upstream(self) -> None:
         dispatcher = FakeDispatcher(Lost("reset"), WHOLE)
         self.assertEqual(self.serve(dispatcher, make_config(Repeat.IDEMPOTENT, 2)), WHOLE)
         first, second = dispatcher.attempts
         self.assertNotEqual(first.instance.id, second.instance.id)
         self.assertLessEqual(second.seconds, first.seconds)
 
-    def test_attempts_end_at_the_routes_limit_with_the_upstreams_own_answer(self) -> None:
+    def test_upstream_error_is_passed_on_at_the_attempt_limit(self) -> None:
         dispatcher = FakeDispatcher(ERROR, ERROR, WHOLE)
         self.assertEqual(self.serve(dispatcher, make_config(Repeat.IDEMPOTENT, 2)), ERROR)
         self.assertEqual(len(dispatcher.attempts), 2)
 
-    def test_what_did_not_run_goes_elsewhere_whatever_its_kind(self) -> None:
+    def test_request_that_did_not_run_is_retried_even_if_not_idempotent(self) -> None:
         dispatcher = FakeDispatcher(REFUSED, REFUSED, WHOLE)
         self.assertEqual(self.serve(dispatcher, make_config(Repeat.ONCE)), WHOLE)
         self.assertEqual(len({a.instance.id for a in dispatcher.attempts}), 3)
 
-    def test_what_reached_no_upstream_takes_nothing_of_the_retry_budget(self) -> None:
-        unreached = NotRun("refused", sent=False)
-        dispatcher = FakeDispatcher(unreached, unreached, WHOLE)
+    def test_unsent_attempt_does_not_use_the_retry_budget(self) -> None:
+        not_sent = NotRun("refused", sent=False)
+        dispatcher = FakeDispatcher(not_sent, not_sent, WHOLE)
         config = make_config(Repeat.ONCE)
         with patch.object(Gateway, "take_repeat", lambda gateway, service: False):
             self.assertEqual(self.serve(dispatcher, config), WHOLE)
@@ -125,26 +123,26 @@
             self.assertIsInstance(self.serve(rejected, config), Failure)
         self.assertEqual(len({a.instance.id for a in dispatcher.attempts}), 3)
 
-    def test_an_address_with_another_instance_is_not_used_again(self) -> None:
+    def test_replaced_instance_is_not_used_again(self) -> None:
         dispatcher = FakeDispatcher(NotRun("status 421", gone=True), WHOLE)
         self.assertEqual(self.serve(dispatcher, make_config(Repeat.ONCE)), WHOLE)
         replaced = dispatcher.attempts[0].instance.id
-        self.assertEqual(self.left, [])
+        self.assertEqual(self.leaving_ids, [])
         self.assertNotIn(replaced, [i.id for i in self.gateway.fleet.list_ready("s")])
 
-    def test_refused_everywhere_is_a_true_refusal_with_when_to_come_back(self) -> None:
+    def test_refusal_by_all_upstreams_is_not_run_with_retry_after(self) -> None:
         outcome = self.serve(FakeDispatcher(*[REFUSED] * 3), make_config(Repeat.ONCE))
         assert isinstance(outcome, Failure)
         self.assertIs(outcome.ran, Ran.NO)
         self.assertGreater(outcome.retry_after or 0, 0)
 
-    def test_after_a_loss_a_refusal_elsewhere_does_not_promise_that_nothing_ran(self) -> None:
+    def test_refusal_after_a_lost_attempt_is_not_reported_as_not_run(self) -> None:
         dispatcher = FakeDispatcher(Lost("reset"), REFUSED, REFUSED)
         outcome = self.serve(dispatcher, make_config(Repeat.IDEMPOTENT, 3))
         assert isinstance(outcome, Failure)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
 
-    def test_the_timeout_ends_a_request_and_does_not_say_that_it_did_not_run(self) -> None:
+    def test_timed_out_request_is_not_reported_as_not_run(self) -> None:
         dispatcher = FakeDispatcher(WHOLE)
         dispatcher.on_send = trio.sleep_forever
         outcome = self.serve(dispatcher, make_config(Repeat.ONCE))
@@ -153,13 +151,13 @@
         self.assertIs(outcome.ran, Ran.UNKNOWN)
         self.assertEqual(self.gateway.loads.list_own(), ())
 
-    def test_without_a_configuration_nothing_is_denied_and_a_time_is_named(self) -> None:
+    def test_request_without_configuration_fails_with_retry_after(self) -> None:
         outcome = self.serve(FakeDispatcher(), None)
         assert isinstance(outcome, Failure)
         self.assertIs(outcome.kind, FailureKind.NO_LEASE)
         self.assertEqual(outcome.retry_after, START_SECONDS)
 
-    def test_keys_are_asked_for_where_organisations_are_known(self) -> None:
+    def test_key_is_required_if_organisations_are_configured(self) -> None:
         config = make_config(Repeat.ONCE)
         route = replace(config.routes[0], public=False)
         organisation = OrganisationRule("o", ("k",), 4)
@@ -171,7 +169,7 @@
         self.assertEqual(self.serve(dispatcher, config, key="k"), WHOLE)
         self.assertEqual(dispatcher.attempts[0].organisation, "o")
 
-    def test_upstreams_that_leave_get_nothing(self) -> None:
+    def test_leaving_upstreams_receive_no_requests(self) -> None:
         dispatcher = FakeDispatcher(WHOLE)
 
         async def main() -> None:
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Tests of streams whose generation moves: each event once, in order, or a visible end."""
+"""Tests of stream delivery across migrations: each event once and in order, or a failure."""
 
 import unittest
 from unittest.mock import patch
@@ -35,7 +35,7 @@
 class RunsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.dispatcher = FakeDispatcher()
-        self.seen: list[str] = []
+        self.event_ids: list[str] = []
         self.failure: Failure | None = None
         self.notice = False
         self.tries = Tries()
@@ -82,23 +82,23 @@
             if isinstance(piece, Failure):
                 self.failure = piece
             else:
-                self.seen.append(piece.decode().split()[1])
+                self.event_ids.append(piece.decode().split()[1])
 
-    def test_a_whole_stream_passes(self) -> None:
+    def test_complete_stream_is_passed_on(self) -> None:
         run = self.deliver(FakeStream(1, 4))
-        self.assertEqual(self.seen, ["1", "2", "3", "4"])
+        self.assertEqual(self.event_ids, ["1", "2", "3", "4"])
         self.assertEqual(run.outcome, "whole")
         self.assertEqual(self.dispatcher.copies, [])
 
-    def test_a_stream_says_what_ended_it(self) -> None:
-        # All but the second end just as the client's leaving does: the delivery is given up.
-        self.assertIs(self.give_up(5.0), StreamEnd.CLIENT)
+    def test_outcome_tells_why_a_stream_ended(self) -> None:
+        # The delivery is cancelled in all cases but the second, as on a client disconnect.
+        self.assertIs(self.cancel_delivery(5.0), StreamEnd.CLIENT)
         self.assertIs(self.deliver(FakeStream(1, 2, cut=True)).outcome, StreamEnd.UPSTREAM)
-        self.assertIs(self.give_up(60.0), StreamEnd.DEADLINE)
-        self.assertIs(self.give_up(5.0, stopped=True), StreamEnd.STOP)
+        self.assertIs(self.cancel_delivery(60.0), StreamEnd.DEADLINE)
+        self.assertIs(self.cancel_delivery(5.0, stopped=True), StreamEnd.STOP)
 
-    def give_up(self, after: float, stopped: bool = False) -> StreamEnd:
-        """Give up the delivery of an endless stream after some seconds; return its end."""
+    def cancel_delivery(self, after: float, stopped: bool = False) -> StreamEnd:
+        """Cancel the delivery of an endless stream after some seconds; return its outcome."""
 
         async def read(runs: Runs, run: Run) -> None:
             with anyio.move_on_after(after):
@@ -110,12 +110,12 @@
         with patch.object(self, "read", read):
             return self.deliver(FakeStream(1, 2, wait=anyio.sleep_forever)).outcome
 
-    def test_a_cut_without_a_copy_ends_visibly_and_at_once(self) -> None:
+    def test_cut_without_a_copy_is_reported_as_partial(self) -> None:
         self.deliver(FakeStream(1, 2, cut=True))
         assert self.failure is not None
         self.assertIs(self.failure.ran, Ran.PARTIAL)
 
-    def test_a_notice_moves_the_generation_and_each_event_comes_once(self) -> None:
+    def test_shutdown_notice_migrates_the_stream_without_repeated_events(self) -> None:
         self.notice = True
         self.dispatcher.copied = Copied("handle", 3)
         self.dispatcher.replies = [FakeStream(4, 6)]
@@ -124,7 +124,7 @@
             await anyio.sleep(1.5)
 
         self.deliver(FakeStream(1, 3, cut=True, wait=stop))
-        self.assertEqual(self.seen, ["1", "2", "3", "4", "5", "6"])
+        self.assertEqual(self.event_ids, ["1", "2", "3", "4", "5", "6"])
         self.assertIsNone(self.failure)
         finals = [final for _, _, final in self.dispatcher.copies]
         self.assertEqual(finals, [False, True])
@@ -134,7 +134,7 @@
         self.assertEqual(attempt.source.address, make_instance(1).address)
         self.assertEqual(attempt.instance.id, self.dispatcher.copies[-1][1])
 
-    def test_a_generation_that_began_late_waits_for_the_others_last_copies(self) -> None:
+    def test_run_missing_from_the_report_waits_for_the_others_final_copies(self) -> None:
         self.notice = True
         self.dispatcher.copied = Copied("handle", 3)
         self.dispatcher.replies = [FakeStream(4, 6)]
@@ -145,14 +145,14 @@
             await anyio.sleep(1.4)
 
         self.deliver(FakeStream(1, 3, cut=True, wait=stop))
-        self.assertEqual(self.seen, ["1", "2", "3", "4", "5", "6"])
-        # The other's first copy takes 0.6 s; then it is stopped, and its rest is copied.
+        self.assertEqual(self.event_ids, ["1", "2", "3", "4", "5", "6"])
+        # The other run's pre-copy takes 0.6 s; then it is stopped for its final copy.
         first, last = self.dispatcher.copied_at
-        others = 0.6 + COPY_EACH_SECONDS + STOP_AFTER_SECONDS + STOP_EACH_SECONDS
-        self.assertGreater(first, others - 0.001)
+        others_seconds = 0.6 + COPY_EACH_SECONDS + STOP_AFTER_SECONDS + STOP_EACH_SECONDS
+        self.assertGreater(first, others_seconds - 0.001)
         self.assertLess(last, 1.4)
 
-    def test_a_stream_is_not_made_anew_where_the_process_ends_before_it(self) -> None:
+    def test_stream_is_not_restarted_if_the_gateway_exits_before_its_end(self) -> None:
         self.tries = Tries({"i1"}, 2, need=Need(3.0, 57.0))
         self.dispatcher.replies = [FakeStream(3, 4)]
         self.ends_at = 50.0
@@ -164,27 +164,27 @@
         self.deliver(FakeStream(1, 2, cut=True))
         self.assertIsNone(self.failure)
 
-    def test_a_cut_without_notice_stops_the_engine_before_another_goes_on(self) -> None:
+    def test_cut_without_notice_stops_the_run_before_it_is_resumed(self) -> None:
         self.dispatcher.copied = Copied("handle", 2)
         self.dispatcher.replies = [FakeStream(3, 4)]
         self.deliver(FakeStream(1, 2, cut=True))
-        self.assertEqual(self.seen, ["1", "2", "3", "4"])
+        self.assertEqual(self.event_ids, ["1", "2", "3", "4"])
         self.assertEqual([final for _, _, final in self.dispatcher.copies], [True])
 
-    def test_a_copy_that_is_refused_ends_the_stream_and_nothing_is_made_anew(self) -> None:
+    def test_refused_copy_ends_the_stream_without_a_restart(self) -> None:
         self.dispatcher.copied = Copied("handle", 2)
         self.dispatcher.replies = [NotRun("no such copy")]
         self.deliver(FakeStream(1, 2, cut=True))
-        self.assertEqual(self.seen, ["1", "2"])
+        self.assertEqual(self.event_ids, ["1", "2"])
         assert self.failure is not None
         self.assertEqual(len(self.dispatcher.attempts), 1)
 
-    def test_a_stream_that_may_resume_is_made_anew_elsewhere_after_its_last_event(self) -> None:
+    def test_resumable_stream_is_restarted_elsewhere_after_its_last_event(self) -> None:
         self.tries = Tries({"i1"}, most=2)
         self.dispatcher.replies = [FakeStream(3, 4)]
         first = FakeStream(1, 2, cut=True)
         self.deliver(first)
-        self.assertEqual(self.seen, ["1", "2", "3", "4"])
+        self.assertEqual(self.event_ids, ["1", "2", "3", "4"])
         self.assertIsNone(self.failure)
         self.assertTrue(first.closed)
         (attempt,) = self.dispatcher.attempts
@@ -192,22 +192,22 @@
         self.assertIsNone(attempt.source)
         self.assertNotEqual(attempt.instance.id, "i1")
 
-    def test_a_stream_is_made_anew_only_as_often_as_its_route_allows(self) -> None:
+    def test_stream_restarts_are_limited_by_the_route(self) -> None:
         self.tries = Tries({"i1"}, most=2)
         self.dispatcher.replies = [NotRun("full"), Lost("reset")]
         self.deliver(FakeStream(1, 2, cut=True))
-        self.assertEqual(self.seen, ["1", "2"])
+        self.assertEqual(self.event_ids, ["1", "2"])
         self.assertEqual([a.instance.id for a in self.dispatcher.attempts].count("i1"), 0)
         self.assertEqual(len(self.dispatcher.attempts), 2)
         self.assertIsNotNone(self.failure)
 
-    def test_an_event_that_comes_again_is_not_passed_on(self) -> None:
+    def test_repeated_event_is_dropped(self) -> None:
         self.tries = Tries({"i1"}, most=2)
         self.dispatcher.replies = [FakeStream(1, 4)]
         self.deliver(FakeStream(1, 2, cut=True))
-        self.assertEqual(self.seen, ["1", "2", "3", "4"])
+        self.assertEqual(self.event_ids, ["1", "2", "3", "4"])
 
-    def test_an_engine_that_died_is_not_asked_again_and_again(self) -> None:
+    def test_unreachable_engine_is_not_asked_for_copies_repeatedly(self) -> None:
         self.notice = True
         self.dispatcher.copied = NotCopied("refused", CopyFault.UNREACHABLE)
 
@@ -218,7 +218,7 @@
         assert self.failure is not None
         self.assertLessEqual(len(self.dispatcher.copies), 2)
 
-    def test_no_room_at_one_engine_tries_another(self) -> None:
+    def test_destination_without_memory_is_replaced_by_another(self) -> None:
         self.notice = True
         self.dispatcher.copied = NotCopied("full", CopyFault.NO_ROOM)
 
@@ -226,12 +226,12 @@
             await anyio.sleep(2.0)
 
         self.deliver(FakeStream(1, 2, cut=True, wait=die))
-        moves = [to for _, to, final in self.dispatcher.copies if not final]
-        self.assertEqual(sorted(moves), ["i2", "i3"])
-        # Nobody else has a turn here, so there is nothing to wait for.
+        destinations = [to for _, to, final in self.dispatcher.copies if not final]
+        self.assertEqual(sorted(destinations), ["i2", "i3"])
+        # No other run has a slot, so both copies are tried at the same time.
         self.assertEqual(len(set(self.dispatcher.copied_at[:2])), 1)
 
-    def test_a_generation_that_lost_its_turn_waits_for_the_others(self) -> None:
+    def test_run_whose_copy_was_refused_waits_for_the_others(self) -> None:
         self.notice = True
         self.dispatcher.copied = NotCopied("full", CopyFault.NO_ROOM)
         self.dispatcher.reported = EngineReport(2.0, (RunSize("id1", 3000), RunSize("x", 12_000)))
@@ -240,6 +240,6 @@
             await anyio.sleep(2.0)
 
         self.deliver(FakeStream(1, 2, cut=True, wait=die))
-        in_turn, again = self.dispatcher.copied_at[:2]
-        self.assertEqual(in_turn, 0.0)
-        self.assertGreater(again, 0.75 + STOP_AFTER_SECONDS + 2 * STOP_EACH_SECONDS - 0.001)
+        first, second = self.dispatcher.copied_at[:2]
+        self.assertEqual(first, 0.0)
+        self.assertGreater(second, 0.75 + STOP_AFTER_SECONDS + 2 * STOP_EACH_SECONDS - 0.001)
