--- a/src/daleroad/candidates.py
+++ b/src/daleroad/candidates.py
@@ -1,4 +1,4 @@
-"""Which upstreams may get a request, with what is known of each. Pure."""
+"""Lists the upstreams that may serve a request, with their load and health. Performs no I/O."""
 
 from collections import Counter
 from collections.abc import Callable, Container, Iterator
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True)
 class Judge:
-    """What candidates are judged by.
+    """Evaluates a service's upstreams as candidates for a request.
 
     :param fleet: the upstreams that are alive.
     :param heartbeat: interval of their heartbeats in seconds.
-    :param get_load: returns the work of all gateways at an instance.
-    :param is_failing: returns whether an instance's answers failed of late.
-    :param evacuated: availability zones whose upstreams get nothing.
+    :param get_load: returns the load of an instance, summed over all gateways.
+    :param is_failing: returns whether an instance was ejected or can't be reached.
+    :param evacuated: availability zones whose upstreams get no requests.
     """
 
     fleet: Fleet
@@ -31,28 +31,28 @@
     def list_candidates(
         self, service: ServiceRule, tokens: int, excluded: Container[str], now: float
     ) -> Iterator[Candidate]:
-        """Yield the upstreams of a service that may get a request.
+        """Yield the upstreams of a service that may serve a request, with the request's load added.
 
         :param service: the service.
-        :param tokens: tokens of memory that the request may take.
-        :param excluded: instances that it must not go to.
-        :param now: the time.
+        :param tokens: tokens of memory that the request may use.
+        :param excluded: instances not to use.
+        :param now: the current time.
         """
         memory = service.engine.memory_tokens if service.engine else 0
         ready = self.fleet.list_ready(service.name)
-        zones = Counter(instance.zone for instance in ready)
+        zone_sizes = Counter(instance.zone for instance in ready)
         for instance in ready:
             if instance.id in excluded or instance.zone in self.evacuated:
                 continue
             expected = self.get_load(instance.id).add(Load(instance.id, 1, tokens))
-            missed = self.fleet.get_age(instance.id, now) / self.heartbeat
+            missed_heartbeats = self.fleet.get_age(instance.id, now) / self.heartbeat
             yield Candidate(
                 instance,
                 estimate_load(expected, instance.slots, memory),
-                doubtful=self.is_failing(instance.id) or missed > LATE_HEARTBEATS,
+                doubtful=self.is_failing(instance.id) or missed_heartbeats > LATE_HEARTBEATS,
                 cold=self.fleet.is_cold(instance.id, now),
-                lone=bool(memory) and zones[instance.zone] == 1,
-                overdue=missed > OVERDUE_HEARTBEATS,
+                sole_in_zone=bool(memory) and zone_sizes[instance.zone] == 1,
+                overdue=missed_heartbeats > OVERDUE_HEARTBEATS,
                 crowded=bool(memory) and expected.tokens > memory,
                 limited=self.fleet.get_rate_limit(instance.id) is not None,
             )
--- a/src/daleroad/choosing.py
+++ b/src/daleroad/choosing.py
@@ -1,4 +1,4 @@
-"""How one gateway chooses upstreams: what it asks for, and what it decides by itself."""
+"""Selects upstreams for one gateway, by asking the central placer or from local state."""
 
 from collections.abc import Awaitable, Callable, Collection, Container, Iterator
 from dataclasses import dataclass
@@ -16,31 +16,32 @@
 from daleroad.limitedsends import LimitedSends, list_limits
 from daleroad.loads import GatewayLoads
 from daleroad.notices import PlaceAnswer, PlaceRequest
-from daleroad.picking import Candidate, draw_sample, make_spread, pick_upstream
+from daleroad.picking import Candidate, make_spread, pick_upstream, sample_candidates
 from daleroad.routing import ServiceRule
 from daleroad.unreached import Unreached
 
-AskPlace = Callable[[PlaceRequest], Awaitable[PlaceAnswer | None]]
-"""Asks another process for an engine; returns what it names, or nothing where it names none."""
+PlacementCall = Callable[[PlaceRequest], Awaitable[PlaceAnswer | None]]
+"""Asks the placer, which runs in another process, for an upstream; returns nothing if there is no
+answer."""
 
 
 @dataclass(frozen=True)
 class Crowded:
-    """Stands for an engine where there are some, but a prompt fits into none for now."""
+    """Returned instead of an engine when no engine has enough free memory for the prompt now."""
 
 
 @dataclass(frozen=True)
 class GatewayOptions:
-    """What a gateway is told at its start. Times are in seconds.
+    """Startup options of a gateway. Times are in seconds.
 
     :param address: IP:PORT for clients.
-    :param seeds: addresses of coordinators to begin with.
+    :param seeds: addresses of the coordinators to contact first.
     :param heartbeat: interval of upstreams' heartbeats.
-    :param retry_ratio: repeats to a service for each request, over all gateways.
-    :param retry_slack: repeats beyond that in a window, over all gateways.
+    :param retry_ratio: retries to a service per request, over all gateways.
+    :param retry_slack: additional retries per window, over all gateways.
     :param retry_window: length of that window.
-    :param outdated_after: a gateway that heard no coordinator for so long refuses new work, or
-        nothing where it may serve by what it has.
+    :param outdated_after: time without news from a coordinator after which the gateway refuses new
+        work; nothing if it may go on with its last known state.
     """
 
     address: str
@@ -55,16 +56,16 @@
 
 
 class Chooser:
-    """Chooses upstreams for one gateway.
+    """Selects upstreams for one gateway.
 
-    :param options: what the gateway is told.
+    :param options: the gateway's startup options.
     :param fleet: the upstreams that are alive.
-    :param guard: what must not be sent.
-    :param loads: the work at each upstream.
-    :param random: source of choices between equals.
-    :param get_service: returns a service of the present configuration.
-    :ivar gateways: how many gateways are alive, with this one.
-    :ivar ask_place: asks the process that chooses for all gateways.
+    :param guard: checks that forbid sending to an upstream.
+    :param loads: the load of each upstream.
+    :param random: source of noise and samples.
+    :param get_service: returns a service of the current configuration.
+    :ivar gateways: number of live gateways, including this one.
+    :ivar ask_place: asks the central placer; nothing where there is none.
     """
 
     def __init__(
@@ -77,9 +78,9 @@
         get_service: Callable[[str], ServiceRule | None],
     ) -> None:
         self.gateways = 1
-        self.ask_place: AskPlace | None = None
+        self.ask_place: PlacementCall | None = None
         self.ejector = Ejector()
-        self._limited = LimitedSends(options.address, fleet, guard)
+        self._limited_sends = LimitedSends(options.address, fleet, guard)
         self._unreached = Unreached(fleet)
         self._options = options
         self._fleet = fleet
@@ -95,45 +96,44 @@
         excluded: Container[str],
         prompt: Prompt | None = None,
     ) -> Instance | None:
-        """Return the upstream that a request should go to, if there is one.
+        """Pick an upstream for a request from local state; return nothing if there is none.
 
-        Prompts are read for longer than news of them takes to reach the other gateways, so short
-        generations follow the gateway's own order. Long ones go where memory is least, which
-        changes slowly: engines that leave can move only so much. On a site with six engines an
-        order for all cost 0.07 and 0.13 of worth on a calm day (2 seeds, paired). Requests of plain
-        services are over before the news comes.
+        Prefilling a prompt takes longer than its load takes to reach the other gateways, so short
+        generations use the gateway's preference order. Long ones are picked by load alone: memory
+        use changes slowly, and an engine that leaves can migrate only a limited amount. Requests to
+        services without engines end before other gateways hear of them.
 
         :param service: the service.
-        :param tokens: tokens of memory that the request may take.
-        :param excluded: instances that it must not go to.
+        :param tokens: tokens of memory that the request may use.
+        :param excluded: instances not to use.
         :param prompt: the request's prompt, if it has one.
         """
         candidates = self.list_candidates(service, tokens, excluded)
         zone = self._options.zone
         if service.engine is not None and prompt is not None and prompt.ends_soon():
             spread = make_spread(self._options.address, self.gateways)
-            found = pick_upstream(candidates, zone, self._random, spread=spread)
+            picked = pick_upstream(candidates, zone, self._random, spread=spread)
         else:
-            sample = draw_sample(candidates, self.gateways, self._random)
-            found = pick_upstream(sample, zone, self._random)
-        return found.instance if found else None
+            sample = sample_candidates(candidates, self.gateways, self._random)
+            picked = pick_upstream(sample, zone, self._random)
+        return picked.instance if picked else None
 
     def pick_quiet(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Instance | None:
-        """Return the upstream that is lost with the least work, if there is one that answers.
+        """Return the healthy upstream with the fewest requests, if there is a healthy one.
 
-        For a request under which upstreams have ended: where it does so again, little goes with it.
+        Used for a request during which upstreams crashed: another crash loses the least work there.
 
         :param service: the service.
-        :param tokens: tokens of memory that the request may take.
-        :param excluded: instances that it must not go to.
+        :param tokens: tokens of memory that the request may use.
+        :param excluded: instances not to use.
         """
-        sound = (c for c in self.list_candidates(service, tokens, excluded) if not c.doubtful)
-        found = min(sound, key=self._rank_quiet, default=None)
-        return found.instance if found else None
+        healthy = (c for c in self.list_candidates(service, tokens, excluded) if not c.doubtful)
+        picked = min(healthy, key=self._rank_by_work, default=None)
+        return picked.instance if picked else None
 
-    def _rank_quiet(self, candidate: Candidate) -> tuple[int, float]:
+    def _rank_by_work(self, candidate: Candidate) -> tuple[int, float]:
         return self._loads.get_total(candidate.instance.id).runs, candidate.load
 
     async def place(
@@ -142,47 +142,48 @@
         tokens: int,
         excluded: Collection[str],
         prompt: Prompt | None = None,
-        patient: bool = False,
+        may_wait: bool = False,
     ) -> Instance | Crowded | None:
         """Return the upstream that a request should go to, if there is one.
 
-        For a prompt the process that chooses for all gateways is asked first.
+        Asks the central placer where one should place the request, and picks from local state if
+        there is no answer or the answer is unusable.
 
         :param service: the service.
-        :param tokens: tokens of memory that the request may take.
-        :param excluded: instances that it must not go to.
+        :param tokens: tokens of memory that the request may use.
+        :param excluded: instances not to use.
         :param prompt: the request's prompt, if it has one.
-        :param patient: whether it would rather wait a little than go where it does not fit.
+        :param may_wait: whether to return ``Crowded`` rather than an engine that lacks memory.
         """
         asked_at = anyio.current_time()
         answer = None
-        if self.ask_place is not None and self._is_placed_for_all(service, prompt):
-            question = self._make_question(service, tokens, prompt, excluded, patient)
-            answer = await self.ask_place(question)
+        if self.ask_place is not None and self._needs_placer(service, prompt):
+            request = self._make_place_request(service, tokens, prompt, excluded, may_wait)
+            answer = await self.ask_place(request)
         if answer is None:
-            by_itself = self.pick(service, tokens, excluded, prompt)
-            return by_itself or self._pick_by_share(service, tokens, excluded)
+            picked = self.pick(service, tokens, excluded, prompt)
+            return picked or self._pick_within_share(service, tokens, excluded)
         if answer.crowded:
             return Crowded()
-        self._limited.keep_grant(answer, asked_at)
-        named = self._find_named(answer.instance, excluded)
-        return named or self.pick(service, tokens, excluded, prompt)
+        self._limited_sends.keep_grant(answer, asked_at)
+        placed = self._find_usable(answer.instance, excluded)
+        return placed or self.pick(service, tokens, excluded, prompt)
 
-    def _is_placed_for_all(self, service: ServiceRule, prompt: Prompt | None) -> bool:
-        """Return whether one process should choose for all gateways."""
-        if self._limited.are_among(service.name):
+    def _needs_placer(self, service: ServiceRule, prompt: Prompt | None) -> bool:
+        """Return whether the central placer should place a request."""
+        if self._limited_sends.are_among(service.name):
             return True
         if service.engine is None or prompt is None:
             return False
         return self.gateways > 1 or bool(service.cold_rate)
 
-    def _make_question(
+    def _make_place_request(
         self,
         service: ServiceRule,
         tokens: int,
         prompt: Prompt | None,
         excluded: Collection[str] = (),
-        patient: bool = False,
+        may_wait: bool = False,
         only: str = "",
     ) -> PlaceRequest:
         instances = self._fleet.list_ready(service.name)
@@ -197,24 +198,26 @@
             prompt.tokens if prompt is not None else 0,
             (*excluded, *resting),
             tuple(filter(self._is_failing, ready)),
-            tuple(filter(self._is_out_of_reach, ready)),
-            patient,
+            tuple(filter(self._is_unreachable, ready)),
+            may_wait,
             tuple(list_limits(self._fleet, ready, anyio.current_time())),
             only,
         )
 
-    def _find_named(self, named: str, excluded: Container[str]) -> Instance | None:
-        """Return the upstream that was named for a request, if it may be used."""
-        # It may have left meanwhile, or the other side may not have heard that it did.
-        known = self._fleet.get(named)
-        if known is None or named in excluded or self._guard.is_resting(known):
+    def _find_usable(self, instance_id: str, excluded: Container[str]) -> Instance | None:
+        """Return the upstream that the placer named, if it may be used."""
+        # It may have left during the call, or before it without the placer's knowledge.
+        instance = self._fleet.get(instance_id)
+        if instance is None or instance_id in excluded or self._guard.is_resting(instance):
             return None
-        return known if known in self._fleet.list_ready(known.service) else None
+        return instance if instance in self._fleet.list_ready(instance.service) else None
 
     async def ask_grant(self, attempt: Attempt) -> bool:
-        """Return whether a request may go to the upstream that was chosen for it.
+        """Return whether a request may be sent to the upstream that was chosen for it.
+
+        Asks the placer, or counts against the gateway's own share if there is no answer.
 
-        :param attempt: the request, for an upstream that bears only so much.
+        :param attempt: the request, to an upstream that is cold or announced a rate limit.
         """
         instance = attempt.instance
         service = self._get_service(instance.service)
@@ -222,47 +225,51 @@
             return False
         answer = None
         if self.ask_place is not None:
-            answer = await self.ask_place(self._make_question(service, 0, None, only=instance.id))
+            answer = await self.ask_place(
+                self._make_place_request(service, 0, None, only=instance.id)
+            )
         if answer is None:
-            return self._limited.take_share(instance, self.gateways)
+            return self._limited_sends.take_share(instance, self.gateways)
         return answer.granted and answer.instance == instance.id
 
-    def _pick_by_share(
+    def _pick_within_share(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Instance | None:
-        """Return an upstream with a limit of which this gateway has a share left, if any."""
+        """Return a rate-limited upstream of which this gateway has a share left, if any."""
         limited = (c.instance for c in self.list_limited(service, tokens, excluded))
-        return next((i for i in limited if self._limited.grant_share(i, self.gateways)), None)
+        return next((i for i in limited if self._limited_sends.grant_share(i, self.gateways)), None)
 
     def pick_limited(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Instance | None:
-        """Return an upstream that names a limit; it gets the request if one is granted then.
+        """Return an upstream that announced a rate limit, if any; sending there needs a grant.
 
         :param service: the service.
-        :param tokens: tokens of memory that the request may take.
-        :param excluded: instances that it must not go to.
+        :param tokens: tokens of memory that the request may use.
+        :param excluded: instances not to use.
         """
         candidates = self.list_limited(service, tokens, excluded)
-        found = pick_upstream(candidates, self._options.zone, self._random)
-        return found.instance if found else None
+        picked = pick_upstream(candidates, self._options.zone, self._random)
+        return picked.instance if picked else None
 
     def forget(self, instance_id: str) -> None:
-        """Forget an upstream that left.
+        """Remove the state kept for an upstream that left.
 
         :param instance_id: the upstream.
         """
         self.ejector.forget(instance_id)
-        self._limited.forget(instance_id)
+        self._limited_sends.forget(instance_id)
 
     def pick_backup(
         self, instance: Instance, tokens: int, prompt: Prompt | None
     ) -> Instance | None:
-        """Return an engine with room for a copy of a run, or nothing if there is none to spare.
+        """Return an engine for a backup copy of a generation, or nothing without spare memory.
 
-        :param instance: where the run goes.
-        :param tokens: memory that it may take.
-        :param prompt: what tells how long it may go on.
+        Only long generations of services that enable backups get one.
+
+        :param instance: the engine that runs the generation.
+        :param tokens: tokens of memory that the generation may use.
+        :param prompt: its prompt, which bounds its duration.
         """
         service = self._get_service(instance.service)
         if service is None or service.engine is None or not service.engine.backups:
@@ -270,20 +277,20 @@
         if prompt is None or prompt.guess_seconds() < BACKUP_WORTH_SECONDS:
             return None
         candidates = self.list_candidates(service, tokens, {instance.id})
-        room = (c for c in candidates if c.load <= BACKUP_ROOM and not c.doubtful)
-        found = pick_upstream(room, instance.zone, self._random)
-        return found.instance if found else None
+        spare = (c for c in candidates if c.load <= BACKUP_ROOM and not c.doubtful)
+        picked = pick_upstream(spare, instance.zone, self._random)
+        return picked.instance if picked else None
 
     def _is_failing(self, instance_id: str) -> bool:
         now = anyio.current_time()
-        return not self.ejector.is_open(instance_id, now) or self._is_out_of_reach(instance_id)
+        return not self.ejector.is_open(instance_id, now) or self._is_unreachable(instance_id)
 
-    def _is_out_of_reach(self, instance_id: str) -> bool:
+    def _is_unreachable(self, instance_id: str) -> bool:
         now = anyio.current_time()
         return self._unreached.is_out_of_reach(instance_id, self._options.zone, now)
 
     def note_unreached(self, instance: Instance) -> None:
-        """Take in that no connection to an upstream could be made.
+        """Record a failed connection attempt to an upstream.
 
         :param instance: the upstream.
         """
@@ -297,29 +304,32 @@
         """Yield the upstreams of a service that may get a request without a grant.
 
         :param service: the service.
-        :param tokens: tokens of memory that the request may take.
-        :param excluded: instances that it must not go to.
+        :param tokens: tokens of memory that the request may use.
+        :param excluded: instances not to use.
         """
-        for candidate in self._judge(service, tokens, excluded):
+        for candidate in self._list_all(service, tokens, excluded):
             if not self._guard.is_limited(candidate.instance):
                 yield candidate
 
     def list_limited(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Iterator[Candidate]:
-        """Yield the upstreams of a service that name a limit and aren't cold.
+        """Yield the upstreams of a service that announced a rate limit.
+
+        Cold upstreams are left out where the service limits what cold upstreams get.
 
         :param service: the service.
-        :param tokens: tokens of memory that the request may take.
-        :param excluded: instances that it must not go to.
+        :param tokens: tokens of memory that the request may use.
+        :param excluded: instances not to use.
         """
-        for candidate in self._judge(service, tokens, excluded):
+        for candidate in self._list_all(service, tokens, excluded):
             if candidate.limited and not self._guard.is_fragile(candidate.instance):
                 yield candidate
 
-    def _judge(
+    def _list_all(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Iterator[Candidate]:
+        """Yield the upstreams that accept requests from this gateway, limited ones included."""
         judge = Judge(
             self._fleet,
             self._options.heartbeat,
@@ -331,10 +341,10 @@
         return (c for c in candidates if not self._guard.is_resting(c.instance))
 
     def note_result(self, instance: Instance, ok: bool) -> None:
-        """Take a request's result as evidence for or against an upstream.
+        """Record the result of a request for the ejection of failing upstreams.
 
         :param instance: the upstream.
-        :param ok: whether the request went well.
+        :param ok: whether the request succeeded.
         """
-        among = len(self._fleet.list_ready(instance.service))
-        self.ejector.note(instance.id, ok, among, anyio.current_time())
+        upstreams = len(self._fleet.list_ready(instance.service))
+        self.ejector.note(instance.id, ok, upstreams, anyio.current_time())
--- a/src/daleroad/picking.py
+++ b/src/daleroad/picking.py
@@ -1,7 +1,7 @@
-"""Which upstream a request goes to. Pure.
+"""Scores candidate upstreams and picks the best one for a request. Performs no I/O.
 
-A gateway knows its own work exactly and that of the others a fraction of a second late, so a
-little noise keeps gateways that see the same figures from choosing the same upstream.
+A gateway knows its own load exactly and that of the others with a delay of a fraction of a second.
+Noise on the scores keeps gateways with equal views from all picking the same upstream.
 """
 
 from collections.abc import Iterable
@@ -13,68 +13,69 @@
 from daleroad.instances import Instance
 from daleroad.notices import Load
 
-NOISE = 0.06
-"""Range of the noise on a load between 0 and 1: about one run of a small engine."""
+MAX_LOAD_NOISE = 0.06
+"""Largest noise added to a load, where 1 is full: about one run on a small engine."""
 
 ZONE_BONUS = 0.05
-"""How much fuller an upstream of the gateway's own zone may be; traffic between zones is paid."""
+"""Load subtracted for an upstream in the gateway's own zone, since cross-zone traffic is billed."""
 
 COPY_ZONE_BONUS = 0.5
-"""The same for the engine that a generation moves to: half of its memory."""
+"""Load subtracted for a same-zone destination of a migrated generation: half of its memory."""
 
-UNREAD_TOKENS = 8000.0
-"""Prompt tokens that weigh as much as a full memory: an engine that also generates reads about
-seven in a millisecond, so this is a second's wait, most of the objective for a first output."""
+FULL_LOAD_PREFILL_TOKENS = 8000.0
+"""Prompt tokens awaiting prefill that weigh as much as a full memory. An engine that also generates
+output prefills about seven tokens per millisecond, so these delay a first token by about a second,
+most of its latency objective."""
 
 COLD_PENALTY = 0.25
-"""Load that stands for the slowness of an upstream that has just started."""
+"""Load added for an upstream that has just started and is still slow."""
 
 LIMITED_PENALTY = 0.25
-"""Load that stands for the need of an upstream that names a limit."""
+"""Load added for an upstream that announced a rate limit."""
 
 OVERDUE_PENALTY = 0.4
-"""Load that stands for a heartbeat that is overdue: the upstream may have ended without a word, and
-a generation begun there would be lost. Less than full, since heartbeats may be held up."""
+"""Load added for an overdue heartbeat: the upstream may have crashed, and a generation started
+there would be lost. Less than 1, since heartbeats may also be delayed."""
 
-LONE_PENALTY = 0.3
-"""Load that stands for having no neighbour in the availability zone: when such an engine leaves,
-its generations move far, which takes twice as long, and fewer of them get off in time."""
+SOLE_IN_ZONE_PENALTY = 0.3
+"""Load added for the only engine of a zone. When it leaves, its generations migrate to another
+zone, which takes twice as long, so fewer of them complete in time."""
 
 
-SPREAD_EACH = 0.17
-"""How much fuller, for each other gateway, the engine that a gateway likes best may look than the
-one that it likes least. Each gateway has an order of its own, so that those which see the same late
-figures do not all choose the same engine. With few gateways what each knows of its own work is most
-of what there is to know, and the order matters little. What it gains: ``daleroad placing``."""
+PREFERENCE_WEIGHT_PER_GATEWAY = 0.17
+"""Load difference, for each other gateway, between the engines that a gateway ranks first and last.
+Gateways rank engines differently, so that those with the same delayed view don't all pick the same
+engine. With few gateways a gateway's own load is most of the total, and the ranking matters little.
+``daleroad placing`` compares results with and without it."""
 
-SPREAD_MOST = 6.0
-"""Largest spread: at 71 gateways that exchange their loads every 0.74 s more gains nothing."""
+MAX_PREFERENCE_WEIGHT = 6.0
+"""More gains nothing at 71 gateways that exchange their loads every 0.74 s."""
 
-FRESH_GATEWAYS = 12
-"""Gateways whose choices between two exchanges of load are few enough to look at all upstreams; of
-more gateways each looks at a random part, or all would choose the same upstream."""
+MAX_FULL_COMPARISON_GATEWAYS = 12
+"""Up to so many gateways each compare all upstreams: they make few picks between two load reports.
+With more, each compares a random sample, or all would pick the same upstream."""
 
-SAMPLE_LEAST = 2
-"""Upstreams that are compared at least; one would be no choice."""
+MIN_SAMPLE_SIZE = 2
+"""Fewest upstreams to compare; a sample of one would ignore the loads."""
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """An upstream with what is known of it.
-
-    :param load: from 0 to 1 when full; above 1 when work waits.
-    :param lone: whether generations there would have to move far.
-    :param doubtful: whether its heartbeat is missing or its answers failed of late.
-    :param overdue: whether a heartbeat should have come by now.
-    :param crowded: whether the request does not fit into what memory is expected to be left.
-    :param limited: whether it names a limit on its requests.
+    """An upstream with its load and health.
+
+    :param load: 0 when idle, 1 when full, and more when work is queued.
+    :param doubtful: whether heartbeats are missing or recent requests failed.
+    :param sole_in_zone: whether generations there could migrate only to another zone.
+    :param overdue: whether the next heartbeat is overdue.
+    :param crowded: whether the request exceeds the memory that is expected to be free.
+    :param limited: whether the upstream announced a rate limit.
     """
 
     instance: Instance
     load: float
     doubtful: bool = False
     cold: bool = False
-    lone: bool = False
+    sole_in_zone: bool = False
     overdue: bool = False
     crowded: bool = False
     limited: bool = False
@@ -82,92 +83,100 @@
 
 @dataclass(frozen=True)
 class Spread:
-    """The order in which one gateway likes the engines.
+    """One gateway's preference order of engines, derived from a hash.
 
-    :param owner: the gateway.
-    :param weight: load that lies between the engines that it likes best and least.
+    :param gateway: the gateway's address.
+    :param weight: load difference between the most and the least preferred engine.
     """
 
-    owner: str = ""
+    gateway: str = ""
     weight: float = 0.0
 
-    def rate(self, instance_id: str) -> float:
-        """Return the load that stands for an engine's place in the order.
+    def get_penalty(self, instance_id: str) -> float:
+        """Return the load to add for an engine's rank in the order.
 
         :param instance_id: the engine.
         """
         if not self.weight:
             return 0.0
-        return self.weight * xxh3_64_intdigest(f"{self.owner} {instance_id}".encode()) / 2**64
+        return self.weight * xxh3_64_intdigest(f"{self.gateway} {instance_id}".encode()) / 2**64
 
 
-def make_spread(owner: str, gateways: int) -> Spread:
-    """Return the order of one of some gateways.
+def make_spread(gateway: str, gateways: int) -> Spread:
+    """Return a gateway's preference order.
 
-    :param owner: the gateway.
-    :param gateways: how many choose by figures that are late.
+    :param gateway: the gateway's address.
+    :param gateways: number of gateways that pick by delayed loads.
     """
-    return Spread(owner, min(SPREAD_MOST, SPREAD_EACH * (gateways - 1)))
+    return Spread(
+        gateway, min(MAX_PREFERENCE_WEIGHT, PREFERENCE_WEIGHT_PER_GATEWAY * (gateways - 1))
+    )
 
 
 def pick_upstream(
     candidates: Iterable[Candidate],
     zone: str,
     random: Random,
-    bonus: float = ZONE_BONUS,
+    zone_bonus: float = ZONE_BONUS,
     spread: Spread = Spread(),
 ) -> Candidate | None:
-    """Return the candidate to use, or nothing without any.
+    """Return the candidate with the lowest score, or nothing if there are no candidates.
 
-    Doubtful ones are used only when no other is there, crowded ones only when no other fits: there
-    the request or another would be preempted, read in again and late by it.
+    Doubtful candidates are used only when all are, and then crowded ones only when no other is
+    left: an engine short of memory preempts a generation and has to prefill it again.
 
     :param candidates: all that may serve the request.
     :param zone: the availability zone to prefer.
     :param random: source of noise.
-    :param bonus: how much fuller an upstream of that availability zone may be.
-    :param spread: the gateway's own order. What speaks against an upstream weighs more beside it.
+    :param zone_bonus: load subtracted for upstreams in that availability zone.
+    :param spread: the gateway's preference order; penalties are scaled up with its weight.
     """
     scale = 1 + spread.weight
     best: Candidate | None = None
-    best_score = (True, True, 0.0)
+    best_rank = (True, True, 0.0)
     for candidate in candidates:
-        score = candidate.load + random.uniform(0, NOISE)
-        score -= bonus * (candidate.instance.zone == zone)
-        score += spread.rate(candidate.instance.id)
-        score += scale * COLD_PENALTY * candidate.cold + scale * LONE_PENALTY * candidate.lone
+        score = candidate.load + random.uniform(0, MAX_LOAD_NOISE)
+        score -= zone_bonus * (candidate.instance.zone == zone)
+        score += spread.get_penalty(candidate.instance.id)
+        score += scale * COLD_PENALTY * candidate.cold + (
+            scale * SOLE_IN_ZONE_PENALTY * candidate.sole_in_zone
+        )
         score += scale * OVERDUE_PENALTY * candidate.overdue
         score += scale * LIMITED_PENALTY * candidate.limited
-        ranked = (candidate.doubtful, candidate.crowded, score)
-        if best is None or ranked < best_score:
-            best, best_score = candidate, ranked
+        rank = (candidate.doubtful, candidate.crowded, score)
+        if best is None or rank < best_rank:
+            best, best_rank = candidate, rank
     return best
 
 
-def draw_sample(candidates: Iterable[Candidate], gateways: int, random: Random) -> list[Candidate]:
-    """Return the candidates that one of many gateways should compare.
+def sample_candidates(
+    candidates: Iterable[Candidate], gateways: int, random: Random
+) -> list[Candidate]:
+    """Return the candidates that a gateway should compare: all of them, or a random sample.
+
+    Doubtful candidates are left out unless all are doubtful.
 
     :param candidates: all that may serve the request.
-    :param gateways: gateways that choose by the same late figures.
-    :param random: draws the part.
+    :param gateways: number of gateways that pick by the same delayed loads.
+    :param random: source of the sample.
     """
-    found = list(candidates)
-    sound = [candidate for candidate in found if not candidate.doubtful]
-    pool = sound or found
-    size = max(SAMPLE_LEAST, round(len(pool) * FRESH_GATEWAYS / max(1, gateways)))
+    listed = list(candidates)
+    healthy = [candidate for candidate in listed if not candidate.doubtful]
+    pool = healthy or listed
+    size = max(MIN_SAMPLE_SIZE, round(len(pool) * MAX_FULL_COMPARISON_GATEWAYS / max(1, gateways)))
     return pool if size >= len(pool) else random.sample(pool, size)
 
 
 def estimate_load(load: Load, slots: int, memory: int) -> float:
-    """Return how full an upstream is: by the scarcer of slots and memory, and by what it must read.
+    """Return an upstream's load: the fuller of its slots and memory, plus its prefill backlog.
 
-    Prompts are read one after the other, so those that wait decide when the next one answers.
+    Prompts are prefilled one after the other, so the backlog delays the next first token.
 
-    :param load: the work there.
-    :param slots: requests that it works on at a time.
-    :param memory: tokens that fit, or 0 where memory does not matter.
+    :param load: the work assigned to it.
+    :param slots: requests that it processes concurrently.
+    :param memory: its capacity in tokens, or 0 where memory does not matter.
     """
     by_slots = load.runs / max(1, slots)
     if not memory:
         return by_slots
-    return max(by_slots, load.tokens / memory) + load.unread / UNREAD_TOKENS
+    return max(by_slots, load.tokens / memory) + load.unread / FULL_LOAD_PREFILL_TOKENS
--- a/src/daleroad/roommodel.py
+++ b/src/daleroad/roommodel.py
@@ -1,9 +1,9 @@
-"""Plays prompts that one process places on engines whose memory is scarce, in virtual time.
+"""Simulates central placement of prompts on engines with scarce memory, in virtual time.
 
-The load that it answers: long generations that fill an engine by sixes, and three times as many
-short ones that each need a tenth of it for half a second. Where memory runs out an engine preempts
-the newest of its long generations and reads it in again. What is looked at is what callers get: a
-generation is late whose first token comes after its objective, or which was preempted.
+The workload mixes long generations, about six of which fill an engine, with short ones that each
+use about a tenth of its memory for half a second. An engine out of memory preempts its newest long
+generation and prefills it again later. A request is late if its first token comes after its latency
+objective or if it was preempted.
 """
 
 from collections.abc import Iterable, Iterator
@@ -21,83 +21,84 @@
 from daleroad.placing import LONG, SHORT, PromptKind, draw
 from daleroad.routing import EngineRule, ServiceRule
 
-TURN_SECONDS = 0.02
-"""Step of virtual time; a prompt is read for 0.3 to 0.5 s."""
+STEP_SECONDS = 0.02
+"""Step of virtual time; the prefill of a prompt takes 0.3 to 0.5 s."""
 
-READ_TOKENS_SECOND = 7500.0
-"""Prompt tokens that an engine reads in a second while it generates."""
+PREFILL_TOKENS_PER_SECOND = 7500.0
+"""Prefill rate of an engine that also generates output."""
 
-TOKEN_SECONDS = 0.0105
-"""Time of one token of output on an engine that reads half of the time."""
+OUTPUT_TOKEN_SECONDS = 0.0105
+"""Time per output token on an engine that spends half of its time on prefill."""
 
 MEMORY_TOKENS = 21_873
 SLOTS = 24
-"""An engine's size."""
+"""An engine's memory in tokens, and how many requests it runs concurrently."""
 
-LONG_MOST = 1768
-SHORT_MOST = 36
-"""Limits of the outputs; half of them is counted as memory."""
+MAX_LONG_OUTPUT_TOKENS = 1768
+MAX_SHORT_OUTPUT_TOKENS = 36
+"""Output limits. Placement counts half of the limit as the memory of the output."""
 
 _ZONES = 3
 _SERVICE = ServiceRule("s", "/", 0, EngineRule(SLOTS, MEMORY_TOKENS, 0.0, True, True))
-_AGES = 1e9
-"""Interval of heartbeats for the judge: these engines are never overdue."""
+_HEARTBEAT_SECONDS = 1e9
+"""So long an interval of heartbeats that no engine is ever overdue."""
 
 
 class Policy(StrEnum):
-    """How engines are chosen."""
+    """How the engine for a prompt is chosen."""
 
-    LOAD = "least load"
-    ROOM = "where it fits, else wait"
+    LEAST_LOAD = "least load"
+    FIT_OR_WAIT = "where it fits, else wait"
 
 
 @dataclass(frozen=True)
-class RoomCase:
-    """One load; what is odd lasts from a third to two thirds of the time.
-
-    :param name: what it is.
-    :param engines: engines, spread over three zones.
-    :param rate: prompts a second.
-    :param short: how many times as many short prompts come meanwhile.
-    :param long: the same of long ones.
-    :param gone: part of the engines that is gone meanwhile, with what they ran.
-    :param evacuated: zones that get nothing meanwhile.
-    :param speeds: how many times as long steps take, by engine in turn.
+class MemoryCase:
+    """A scenario whose disturbance lasts for the middle third of the simulated time.
+
+    :param name: its name in the table.
+    :param engines: number of engines, assigned to three zones in rotation.
+    :param rate: prompts per second.
+    :param short_factor: multiplies the rate of short prompts during the disturbance.
+    :param long_factor: multiplies the rate of long prompts during the disturbance.
+    :param lost_share: share of the engines that are lost during it, with their requests.
+    :param evacuated: number of zones that get no prompts during it.
+    :param step_factors: durations of the engines' steps relative to normal, assigned in rotation.
+    :param seconds: how long prompts arrive.
     """
 
     name: str
     engines: int = 25
     rate: float = 38.0
-    short: float = 1.0
-    long: float = 1.0
-    gone: float = 0.0
+    short_factor: float = 1.0
+    long_factor: float = 1.0
+    lost_share: float = 0.0
     evacuated: int = 0
-    speeds: tuple[float, ...] = (1.0,)
+    step_factors: tuple[float, ...] = (1.0,)
     seconds: float = 36.0
 
 
 CASES = (
-    RoomCase("short prompts 2.5 times", short=2.5),
-    RoomCase("long prompts twice", long=2.0),
-    RoomCase("a third gone and back", gone=0.33),
-    RoomCase("a zone evacuated in a burst", evacuated=1, short=1.3, long=1.3),
-    RoomCase("engines of two speeds", speeds=(1.0, 1.0, 1.3)),
+    MemoryCase("short prompts 2.5 times", short_factor=2.5),
+    MemoryCase("long prompts twice", long_factor=2.0),
+    MemoryCase("a third gone and back", lost_share=0.33),
+    MemoryCase("a zone evacuated in a burst", evacuated=1, short_factor=1.3, long_factor=1.3),
+    MemoryCase("engines of two speeds", step_factors=(1.0, 1.0, 1.3)),
 )
 
 
 @dataclass
-class _Work:
-    """One prompt on its way."""
+class _Request:
+    """A request with its progress."""
 
     name: str
     kind: PromptKind
     sent_at: float
     prompt: int
     output: int
-    unread: float = 0.0
-    made: float = 0.0
-    first_at: float | None = None
-    preempted: int = 0
+    prefill_left: float = 0.0
+    generated: float = 0.0
+    first_token_at: float | None = None
+    preemptions: int = 0
     lost: bool = False
     engine: str = ""
 
@@ -105,79 +106,85 @@
         return self.kind is LONG
 
     def count_tokens(self) -> int:
-        """Return the memory that is counted for it where engines are chosen."""
-        return self.prompt + (LONG_MOST if self.is_long() else SHORT_MOST) // 2
+        """Return the tokens of memory that placement counts for it."""
+        return (
+            self.prompt
+            + (MAX_LONG_OUTPUT_TOKENS if self.is_long() else MAX_SHORT_OUTPUT_TOKENS) // 2
+        )
 
     def is_late(self) -> bool:
-        began = self.first_at if self.first_at is not None else float("inf")
-        return bool(self.preempted) or began - self.sent_at > self.kind.objective
+        first_token_at = self.first_token_at if self.first_token_at is not None else float("inf")
+        return bool(self.preemptions) or first_token_at - self.sent_at > self.kind.objective
 
 
 @dataclass
 class _Engine:
     instance: Instance
-    speed: float
-    waiting: list[_Work] = field(default_factory=list)
-    running: list[_Work] = field(default_factory=list)
-    reread: float = 0.0
+    step_factor: float
+    waiting: list[_Request] = field(default_factory=list)
+    running: list[_Request] = field(default_factory=list)
+    recomputed: float = 0.0
 
-    def turn(self, now: float) -> Iterator[_Work]:
-        """Go on for one step; yield what began or ended."""
+    def step(self, now: float) -> Iterator[_Request]:
+        """Run one step; yield the requests that got their first token or ended."""
         self._admit()
-        yield from self._read(now)
-        for work in list(self.running):
-            if work.unread:
+        yield from self._prefill(now)
+        for request in list(self.running):
+            if request.prefill_left:
                 continue
-            work.made += TURN_SECONDS / (TOKEN_SECONDS * self.speed)
-            if work.made >= work.output:
-                self.running.remove(work)
-                yield work
-        self._make_room()
+            request.generated += STEP_SECONDS / (OUTPUT_TOKEN_SECONDS * self.step_factor)
+            if request.generated >= request.output:
+                self.running.remove(request)
+                yield request
+        self._free_memory()
 
     def _admit(self) -> None:
-        self.waiting.sort(key=lambda work: (work.is_long(), work.sent_at))
-        for work in list(self.waiting):
-            if not work.is_long():
-                self._make_room(work.prompt)
-            if self._count_used() + work.prompt > MEMORY_TOKENS or len(self.running) >= SLOTS:
+        self.waiting.sort(key=lambda request: (request.is_long(), request.sent_at))
+        for request in list(self.waiting):
+            if not request.is_long():
+                self._free_memory(request.prompt)
+            if (
+                self._count_used_tokens() + request.prompt > MEMORY_TOKENS
+                or len(self.running) >= SLOTS
+            ):
                 return
-            self.waiting.remove(work)
-            work.unread = work.prompt + work.made
-            self.running.append(work)
-
-    def _read(self, now: float) -> Iterator[_Work]:
-        left = READ_TOKENS_SECOND * TURN_SECONDS / self.speed
-        for work in sorted(self.running, key=lambda work: work.is_long()):
-            read = min(left, work.unread)
-            left -= read
-            begins = 0 < work.unread <= read
-            work.unread -= read
-            if begins and work.first_at is None:
-                work.first_at = now
-                yield work
-
-    def _count_used(self) -> float:
-        return sum(work.prompt + work.made for work in self.running)
-
-    def _make_room(self, wanted: float = 0.0) -> None:
-        """Preempt the newest long generations until what is wanted fits."""
-        while self._count_used() + wanted > MEMORY_TOKENS:
+            self.waiting.remove(request)
+            request.prefill_left = request.prompt + request.generated
+            self.running.append(request)
+
+    def _prefill(self, now: float) -> Iterator[_Request]:
+        left = PREFILL_TOKENS_PER_SECOND * STEP_SECONDS / self.step_factor
+        for request in sorted(self.running, key=lambda request: request.is_long()):
+            tokens = min(left, request.prefill_left)
+            left -= tokens
+            finishes = 0 < request.prefill_left <= tokens
+            request.prefill_left -= tokens
+            if finishes and request.first_token_at is None:
+                request.first_token_at = now
+                yield request
+
+    def _count_used_tokens(self) -> float:
+        return sum(request.prompt + request.generated for request in self.running)
+
+    def _free_memory(self, needed: float = 0.0) -> None:
+        """Preempt the newest long generations until the needed tokens are free."""
+        while self._count_used_tokens() + needed > MEMORY_TOKENS:
             newest = max(
-                (work for work in self.running if work.is_long()),
-                key=lambda work: work.sent_at,
+                (request for request in self.running if request.is_long()),
+                key=lambda request: request.sent_at,
                 default=None,
             )
             if newest is None:
                 return
             self.running.remove(newest)
-            newest.preempted += 1
-            self.reread += newest.prompt + newest.made - newest.unread
+            newest.preemptions += 1
+            self.recomputed += newest.prompt + newest.generated - newest.prefill_left
             self.waiting.append(newest)
 
 
 @dataclass(frozen=True)
-class KindResult:
-    """What callers of one kind got, as shares of all its prompts."""
+class KindShares:
+    """Shares of the prompts of one kind by result."""
 
     in_time: float
     late: float
@@ -185,145 +192,147 @@
 
 
 @dataclass(frozen=True)
-class RoomResult:
-    """What came of one case.
+class MemoryResult:
+    """Results of one case.
 
-    :param preempted: how often a generation was preempted.
-    :param reread: tokens that were read again for it.
+    :param preemptions: number of preemptions.
+    :param recomputed: tokens that were prefilled again after preemptions.
     """
 
-    long: KindResult
-    short: KindResult
-    preempted: int
-    reread: float
+    long: KindShares
+    short: KindShares
+    preemptions: int
+    recomputed: float
 
 
-class _World:
-    def __init__(self, case: RoomCase, policy: Policy, seed: int) -> None:
+class _Simulation:
+    def __init__(self, case: MemoryCase, policy: Policy, seed: int) -> None:
         self.case = case
         self.policy = policy
         self.random = Random(seed)
         self.fleet = Fleet()
         self.loads = LoadTotals(float("inf"))
         self.engines: dict[str, _Engine] = {}
-        self.pending: list[tuple[float, _Work]] = []
-        self.all: list[_Work] = []
+        self.pending: list[tuple[float, _Request]] = []
+        self.all: list[_Request] = []
         for number in range(case.engines):
             zone = f"zone-{number % _ZONES}"
             ready = InstanceState.READY
             instance = Instance(f"e{number}", "s", f"{number}", zone, SLOTS, ready, 1)
             self.fleet.note(Sighting(instance, 0.0), 0.0)
-            speed = case.speeds[number % len(case.speeds)]
-            self.engines[instance.id] = _Engine(instance, speed)
+            step_factor = case.step_factors[number % len(case.step_factors)]
+            self.engines[instance.id] = _Engine(instance, step_factor)
 
-    def is_odd(self, now: float) -> bool:
-        """Return whether what makes the case lasts."""
+    def is_disturbed(self, now: float) -> bool:
+        """Return whether the disturbance of the case is under way."""
         return self.case.seconds / 3 <= now < 2 * self.case.seconds / 3
 
-    def play(self) -> RoomResult:
+    def run(self) -> MemoryResult:
         now = 0.0
         while now < self.case.seconds + 25.0:
             if now < self.case.seconds:
-                self._arrive(now)
-            self._lose(now)
-            self._place(now)
+                self._add_arrivals(now)
+            self._drop_lost_engines(now)
+            self._place_pending(now)
             for engine in self.engines.values():
-                for work in engine.turn(now):
-                    self._tell(work, now)
-            now += TURN_SECONDS
-        return RoomResult(
-            _judge(work for work in self.all if work.is_long()),
-            _judge(work for work in self.all if not work.is_long()),
-            sum(work.preempted for work in self.all),
-            sum(engine.reread for engine in self.engines.values()),
+                for request in engine.step(now):
+                    self._report_load(request, now)
+            now += STEP_SECONDS
+        return MemoryResult(
+            _summarize(request for request in self.all if request.is_long()),
+            _summarize(request for request in self.all if not request.is_long()),
+            sum(request.preemptions for request in self.all),
+            sum(engine.recomputed for engine in self.engines.values()),
         )
 
-    def _arrive(self, now: float) -> None:
-        odd = self.is_odd(now)
-        for kind, times in ((LONG, self.case.long), (SHORT, self.case.short)):
-            rate = self.case.rate * kind.share * (times if odd else 1.0)
-            if self.random.random() < rate * TURN_SECONDS:
+    def _add_arrivals(self, now: float) -> None:
+        disturbed = self.is_disturbed(now)
+        for kind, factor in ((LONG, self.case.long_factor), (SHORT, self.case.short_factor)):
+            rate = self.case.rate * kind.share * (factor if disturbed else 1.0)
+            if self.random.random() < rate * STEP_SECONDS:
                 prompt = int(draw(self.random, *kind.tokens))
                 mean = 650.0 if kind is LONG else kind.output[0]
-                most = LONG_MOST if kind is LONG else SHORT_MOST
-                output = max(1, min(most, int(draw(self.random, mean, kind.output[1]))))
-                work = _Work(f"w{len(self.all)}", kind, now, prompt, output)
-                self.all.append(work)
-                self.pending.append((now, work))
-
-    def _lose(self, now: float) -> None:
-        """Let engines go, with what they run, while that is what makes the case."""
-        if not self.case.gone or not self.is_odd(now):
+                limit = MAX_LONG_OUTPUT_TOKENS if kind is LONG else MAX_SHORT_OUTPUT_TOKENS
+                output = max(1, min(limit, int(draw(self.random, mean, kind.output[1]))))
+                request = _Request(f"w{len(self.all)}", kind, now, prompt, output)
+                self.all.append(request)
+                self.pending.append((now, request))
+
+    def _drop_lost_engines(self, now: float) -> None:
+        """Drop the requests of the engines that are lost during the disturbance."""
+        if not self.case.lost_share or not self.is_disturbed(now):
             return
-        for engine in list(self.engines.values())[: int(self.case.gone * self.case.engines)]:
-            for work in (*engine.running, *engine.waiting):
-                work.lost = True
-                self.loads.note(work.name, (), now)
+        for engine in list(self.engines.values())[: int(self.case.lost_share * self.case.engines)]:
+            for request in (*engine.running, *engine.waiting):
+                request.lost = True
+                self.loads.note(request.name, (), now)
             engine.running, engine.waiting = [], []
 
-    def _place(self, now: float) -> None:
-        due = [(at, work) for at, work in self.pending if at <= now]
-        self.pending = [(at, work) for at, work in self.pending if at > now]
-        for _, work in due:
-            found = self._choose(work, now)
-            waited = now - work.sent_at
-            patient = work.is_long() and waited < CROWDED_OBJECTIVES * work.kind.objective
-            if found.crowded and patient:
-                self.pending.append((now + CROWDED_PAUSE_SECONDS, work))
+    def _place_pending(self, now: float) -> None:
+        due = [(at, request) for at, request in self.pending if at <= now]
+        self.pending = [(at, request) for at, request in self.pending if at > now]
+        for _, request in due:
+            picked = self._pick(request, now)
+            waited = now - request.sent_at
+            may_wait = request.is_long() and waited < CROWDED_OBJECTIVES * request.kind.objective
+            if picked.crowded and may_wait:
+                self.pending.append((now + CROWDED_PAUSE_SECONDS, request))
                 continue
-            work.engine = found.instance.id
-            load = Load(work.engine, 1, work.count_tokens(), work.prompt)
-            self.loads.book(work.name, load, now)
-            self.engines[work.engine].waiting.append(work)
-
-    def _choose(self, work: _Work, now: float) -> Candidate:
-        odd = self.is_odd(now)
-        zones = [f"zone-{n}" for n in range(self.case.evacuated if odd else 0)]
-        gone = int(self.case.gone * self.case.engines) if odd else 0
-        excluded = [f"e{number}" for number in range(gone)]
-        judge = Judge(self.fleet, _AGES, self.loads.get_total, lambda name: False, zones)
-        found = judge.list_candidates(_SERVICE, work.count_tokens(), excluded, now)
-        if self.policy is Policy.LOAD:
-            found = (replace(candidate, crowded=False) for candidate in found)
-        chosen = pick_upstream(found, "", self.random)
-        assert chosen is not None
-        return chosen
-
-    def _tell(self, work: _Work, now: float) -> None:
-        """Let the process that places know that some work began or ended."""
-        over = work.made >= work.output
-        left = () if over else (Load(work.engine, 1, work.count_tokens()),)
-        self.loads.note(work.name, left, now)
-
-
-def _judge(works: Iterable[_Work]) -> KindResult:
-    found = list(works)
-    lost = sum(work.lost for work in found)
-    late = sum(work.is_late() and not work.lost for work in found)
-    count = max(1, len(found))
-    return KindResult((count - lost - late) / count, late / count, lost / count)
-
-
-def play(case: RoomCase, policy: Policy, seed: int) -> RoomResult:
-    """Return what came of one case.
-
-    :param case: the load.
+            request.engine = picked.instance.id
+            load = Load(request.engine, 1, request.count_tokens(), request.prompt)
+            self.loads.book(request.name, load, now)
+            self.engines[request.engine].waiting.append(request)
+
+    def _pick(self, request: _Request, now: float) -> Candidate:
+        disturbed = self.is_disturbed(now)
+        zones = [f"zone-{n}" for n in range(self.case.evacuated if disturbed else 0)]
+        lost = int(self.case.lost_share * self.case.engines) if disturbed else 0
+        excluded = [f"e{number}" for number in range(lost)]
+        judge = Judge(
+            self.fleet, _HEARTBEAT_SECONDS, self.loads.get_total, lambda name: False, zones
+        )
+        candidates = judge.list_candidates(_SERVICE, request.count_tokens(), excluded, now)
+        if self.policy is Policy.LEAST_LOAD:
+            candidates = (replace(candidate, crowded=False) for candidate in candidates)
+        picked = pick_upstream(candidates, "", self.random)
+        assert picked is not None
+        return picked
+
+    def _report_load(self, request: _Request, now: float) -> None:
+        """Report to the placer that a request got its first token or ended."""
+        ended = request.generated >= request.output
+        loads = () if ended else (Load(request.engine, 1, request.count_tokens()),)
+        self.loads.note(request.name, loads, now)
+
+
+def _summarize(requests: Iterable[_Request]) -> KindShares:
+    listed = list(requests)
+    lost = sum(request.lost for request in listed)
+    late = sum(request.is_late() and not request.lost for request in listed)
+    count = max(1, len(listed))
+    return KindShares((count - lost - late) / count, late / count, lost / count)
+
+
+def simulate(case: MemoryCase, policy: Policy, seed: int) -> MemoryResult:
+    """Run one case and return its results.
+
+    :param case: the scenario.
     :param policy: how engines are chosen.
-    :param seed: fixes arrivals and lengths.
+    :param seed: seed of arrivals, lengths and noise.
     """
-    return _World(case, policy, seed).play()
+    return _Simulation(case, policy, seed).run()
 
 
-def format_cases(cases: Iterable[RoomCase], seed: int) -> Iterator[str]:
-    """Yield a table of cases by each policy: shares in time of long and short ones, preempted.
+def format_cases(cases: Iterable[MemoryCase], seed: int) -> Iterator[str]:
+    """Yield the rows of a table that compares the policies in each case.
 
     :param cases: the cases.
-    :param seed: fixes arrivals and lengths.
+    :param seed: seed of arrivals, lengths and noise.
     """
     yield f"{'load':<30}{'policy':<26}{'long':>7}{'short':>7}{'preempted':>11}{'read again':>12}"
     for case in cases:
         for policy in Policy:
-            found = play(case, policy, seed)
-            shares = f"{found.long.in_time:>7.3f}{found.short.in_time:>7.3f}"
-            waste = f"{found.preempted:>11}{found.reread:>12.0f}"
-            yield f"{case.name:<30}{policy:<26}{shares}{waste}"
+            result = simulate(case, policy, seed)
+            shares = f"{result.long.in_time:>7.3f}{result.short.in_time:>7.3f}"
+            recomputation = f"{result.preemptions:>11}{result.recomputed:>12.0f}"
+            yield f"{case.name:<30}{policy:<26}{shares}{recomputation}"
--- a/tests/test_picking.py
+++ b/tests/test_picking.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of an upstream, and of the budget for repeats."""
+"""Tests of upstream selection and of the retry budget."""
 
 import unittest
 from collections import Counter
@@ -16,58 +16,58 @@
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.notices import Load
 from daleroad.picking import (
-    SPREAD_MOST,
+    MAX_PREFERENCE_WEIGHT,
     Candidate,
-    draw_sample,
     estimate_load,
     make_spread,
     pick_upstream,
+    sample_candidates,
 )
 from daleroad.retries import WindowBudget
 from daleroad.routing import Repeat
 from tests.fakes import FakeDispatcher, make_config, make_gateway, make_instance
 
 
-def make_candidate(name: str, load: float, zone: str = "z", **known: bool) -> Candidate:
+def make_candidate(name: str, load: float, zone: str = "z", **flags: bool) -> Candidate:
     instance = Instance(name, "s", f"{name}:1", zone, 24, InstanceState.READY, 1)
-    return Candidate(instance, load, **known)
+    return Candidate(instance, load, **flags)
 
 
 def pick(*candidates: Candidate, zone: str = "") -> str:
-    found = pick_upstream(candidates, zone, Random(1))
-    return found.instance.id if found else ""
+    picked = pick_upstream(candidates, zone, Random(1))
+    return picked.instance.id if picked else ""
 
 
-class PickTest(unittest.TestCase):
-    def test_the_less_loaded_one_is_picked(self) -> None:
+class PickUpstreamTest(unittest.TestCase):
+    def test_less_loaded_upstream_is_picked(self) -> None:
         self.assertEqual(pick(make_candidate("a", 0.9), make_candidate("b", 0.2)), "b")
 
-    def test_doubtful_ones_only_without_another(self) -> None:
+    def test_doubtful_upstream_is_used_only_without_another(self) -> None:
         doubtful = make_candidate("a", 0.0, doubtful=True)
         self.assertEqual(pick(doubtful, make_candidate("b", 5.0)), "b")
         self.assertEqual(pick(doubtful), "a")
         self.assertEqual(pick(), "")
 
-    def test_what_speaks_against_an_engine_gives_it_less(self) -> None:
-        for known in ("lone", "cold", "overdue"):
-            with self.subTest(known):
-                marked = make_candidate("a", 0.3, **{known: True})
-                self.assertEqual(pick(marked, make_candidate("b", 0.4)), "b")
-                self.assertEqual(pick(marked, make_candidate("b", 0.9)), "a")
+    def test_penalties_count_as_load(self) -> None:
+        for flag in ("sole_in_zone", "cold", "overdue"):
+            with self.subTest(flag):
+                penalized = make_candidate("a", 0.3, **{flag: True})
+                self.assertEqual(pick(penalized, make_candidate("b", 0.4)), "b")
+                self.assertEqual(pick(penalized, make_candidate("b", 0.9)), "a")
 
-    def test_gateways_have_orders_of_their_own_that_weigh_more_the_more_there_are(self) -> None:
+    def test_preference_orders_differ_by_gateway_and_weigh_more_with_more_gateways(self) -> None:
         equal = [make_candidate(name, 0.5) for name in "abcdef"]
-        firsts = set()
+        preferred = set()
         for number in range(20):
             order = make_spread(f"gateway-{number}", 20)
             picks = [pick_upstream(equal, "", Random(seed), spread=order) for seed in range(9)]
             self.assertEqual(len({p.instance.id for p in picks if p}), 1)
-            firsts |= {p.instance.id for p in picks if p}
-        self.assertGreater(len(firsts), 3)
-        self.assertEqual(make_spread("alone", 1).rate("a"), 0.0)
-        self.assertEqual(make_spread("one of many", 1000).weight, SPREAD_MOST)
+            preferred |= {p.instance.id for p in picks if p}
+        self.assertGreater(len(preferred), 3)
+        self.assertEqual(make_spread("gateway-0", 1).get_penalty("a"), 0.0)
+        self.assertEqual(make_spread("gateway-0", 1000).weight, MAX_PREFERENCE_WEIGHT)
 
-    def test_only_short_generations_follow_the_gateways_own_order(self) -> None:
+    def test_only_short_generations_use_the_gateways_preference_order(self) -> None:
         async def main() -> None:
             config = make_config(Repeat.STREAM, engine=True)
             gateway = make_gateway(FakeDispatcher(), config, anyio.current_time())
@@ -80,7 +80,7 @@
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_after_a_restart_the_first_engine_that_is_heard_does_not_get_all_prompts(self) -> None:
+    def test_first_engine_heard_after_a_restart_does_not_get_all_prompts(self) -> None:
         async def main(age: float) -> int:
             now = anyio.current_time()
             config = make_config(Repeat.STREAM, engine=True)
@@ -89,37 +89,37 @@
             gateway.replace_config(config)
             gateway.fleet.note_all([Sighting(make_instance(n), age) for n in (1, 2, 3)], now)
             gateway.fleet.note(Sighting(replace(make_instance(1), sequence=2), 0.0), now)
-            chosen = set()
+            used = set()
             for _ in range(12):
-                found = gateway.chooser.pick(config.services[0], 4000, ())
-                assert found is not None
-                gateway.loads.add(found, 1, 4000, 3000)
-                chosen.add(found.id)
-            return len(chosen)
+                picked = gateway.chooser.pick(config.services[0], 4000, ())
+                assert picked is not None
+                gateway.loads.add(picked, 1, 4000, 3000)
+                used.add(picked.id)
+            return len(used)
 
-        # As known from the disk; and as one that was not heard for long.
+        # The age given to engines recovered from disk, and one so old that the others are doubtful.
         for age, expected in ((RECOVERED_HEARTBEATS, 3), (10.0, 1)):
             clock = trio.testing.MockClock(autojump_threshold=0)
             self.assertEqual(trio.run(main, age, clock=clock), expected)
 
-    def test_the_own_zone_goes_first_among_equals(self) -> None:
-        here, there = make_candidate("a", 0.5, "z"), make_candidate("b", 0.42, "y")
+    def test_own_zone_is_preferred_among_similar_loads(self) -> None:
+        local, remote = make_candidate("a", 0.5, "z"), make_candidate("b", 0.42, "y")
         picks = Counter(
-            found.instance.id
+            picked.instance.id
             for seed in range(200)
-            if (found := pick_upstream([here, there], "z", Random(seed)))
+            if (picked := pick_upstream([local, remote], "z", Random(seed)))
         )
         self.assertGreater(picks["a"], 20)
 
-    def test_unread_prompts_weigh_as_much_as_memory(self) -> None:
-        reading = estimate_load(Load("a", 2, 6000, 6000), 24, 34_000)
+    def test_prefill_backlog_adds_to_the_load(self) -> None:
+        prefilling = estimate_load(Load("a", 2, 6000, 6000), 24, 34_000)
         generating = estimate_load(Load("a", 4, 14_000, 0), 24, 34_000)
-        self.assertGreater(reading, generating)
+        self.assertGreater(prefilling, generating)
         self.assertEqual(estimate_load(Load("a", 3), 6, 0), 0.5)
 
 
-class SilenceTest(unittest.TestCase):
-    def list_marks(self, age: float) -> set[tuple[bool, bool]]:
+class MissedHeartbeatsTest(unittest.TestCase):
+    def list_flags(self, age: float) -> set[tuple[bool, bool]]:
         gateway = make_gateway(FakeDispatcher(), make_config(Repeat.STREAM, engine=True), 0.0)
         service = gateway.get_service("s")
         assert service is not None
@@ -130,54 +130,54 @@
                 gateway.fleet.note(Sighting(make_instance(number), 0.0), heard_at)
             await anyio.sleep(age)
             candidates = list(gateway.chooser.list_candidates(service, 0, ()))
-            return {(found.overdue, found.doubtful) for found in candidates}
+            return {(c.overdue, c.doubtful) for c in candidates}
 
         for instance in gateway.fleet.list_ready("s"):
             gateway.fleet.leave(instance.id, 0.0)
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_silence_first_gives_less_work_and_then_none(self) -> None:
-        # Heartbeats come each second here.
-        self.assertEqual(self.list_marks(1.0), {(False, False)})
-        self.assertEqual(self.list_marks(OVERDUE_HEARTBEATS + 0.1), {(True, False)})
-        self.assertEqual(self.list_marks(LATE_HEARTBEATS + 0.1), {(True, True)})
+    def test_upstream_becomes_overdue_and_then_doubtful(self) -> None:
+        # The heartbeat interval is one second here.
+        self.assertEqual(self.list_flags(1.0), {(False, False)})
+        self.assertEqual(self.list_flags(OVERDUE_HEARTBEATS + 0.1), {(True, False)})
+        self.assertEqual(self.list_flags(LATE_HEARTBEATS + 0.1), {(True, True)})
 
 
 class SampleTest(unittest.TestCase):
-    def test_few_gateways_compare_all(self) -> None:
+    def test_few_gateways_compare_all_candidates(self) -> None:
         candidates = [make_candidate(str(n), 0.1) for n in range(23)]
-        self.assertEqual(len(draw_sample(candidates, 12, Random(1))), 23)
+        self.assertEqual(len(sample_candidates(candidates, 12, Random(1))), 23)
 
-    def test_many_gateways_do_not_all_choose_the_same(self) -> None:
+    def test_many_gateways_do_not_all_pick_the_same_upstream(self) -> None:
         candidates = [make_candidate(str(n), 0.1 * n) for n in range(23)]
-        picked = Counter()
+        picks = Counter()
         for seed in range(90):
             random = Random(seed)
-            found = pick_upstream(draw_sample(candidates, 90, random), "", random)
-            assert found is not None
-            picked[found.instance.id] += 1
-        self.assertGreater(len(picked), 8)
+            picked = pick_upstream(sample_candidates(candidates, 90, random), "", random)
+            assert picked is not None
+            picks[picked.instance.id] += 1
+        self.assertGreater(len(picks), 8)
 
-    def test_doubtful_ones_are_drawn_only_without_others(self) -> None:
-        sound = make_candidate("a", 0.9)
+    def test_doubtful_candidates_are_sampled_only_without_others(self) -> None:
+        healthy = make_candidate("a", 0.9)
         doubtful = [make_candidate(str(n), 0.0, doubtful=True) for n in range(5)]
-        self.assertEqual(draw_sample([*doubtful, sound], 90, Random(1)), [sound])
-        self.assertEqual(len(draw_sample(doubtful, 90, Random(1))), 2)
+        self.assertEqual(sample_candidates([*doubtful, healthy], 90, Random(1)), [healthy])
+        self.assertEqual(len(sample_candidates(doubtful, 90, Random(1))), 2)
 
 
 class WindowBudgetTest(unittest.TestCase):
-    def test_repeats_stay_below_their_share_over_all_processes(self) -> None:
-        sharers = 12
-        budgets = [WindowBudget(0.2, 64, 10.0) for _ in range(sharers)]
-        repeats = 0
+    def test_retries_of_all_processes_stay_within_the_budget(self) -> None:
+        processes = 12
+        budgets = [WindowBudget(0.2, 64, 10.0) for _ in range(processes)]
+        retries = 0
         for number in range(1200):
-            budget = budgets[number % sharers]
+            budget = budgets[number % processes]
             budget.note_first("s", number / 120)
-            repeats += sum(budget.take("s", sharers, number / 120) for _ in range(3))
-        self.assertLessEqual(repeats, 0.2 * 1200 + 64)
-        self.assertGreater(repeats, 0.5 * (0.2 * 1200 + 64))
+            retries += sum(budget.take("s", processes, number / 120) for _ in range(3))
+        self.assertLessEqual(retries, 0.2 * 1200 + 64)
+        self.assertGreater(retries, 0.5 * (0.2 * 1200 + 64))
 
-    def test_the_window_slides_and_services_have_their_own(self) -> None:
+    def test_window_slides_and_each_service_has_its_own(self) -> None:
         budget = WindowBudget(0.0, 2.9, 10.0)
         self.assertTrue(budget.take("s", 1, 0.0))
         self.assertTrue(budget.take("s", 1, 1.0))
--- a/tests/test_roommodel.py
+++ b/tests/test_roommodel.py
@@ -1,59 +1,62 @@
-"""Plays of loads on engines whose memory is scarce: what callers get, before and now."""
+"""Tests of placement on engines with scarce memory, in simulations that compare the policies."""
 
 import unittest
 
-from daleroad.roommodel import CASES, Policy, RoomCase, RoomResult, format_cases, play
+from daleroad.roommodel import CASES, MemoryCase, MemoryResult, Policy, format_cases, simulate
 
 SEED = 1
-FALL_MOST = 0.03
-"""How much a kind may get less often in time by a change that serves callers better."""
+MAX_IN_TIME_LOSS = 0.03
+"""How far the share in time of one kind may fall below that of the baseline policy."""
 
-CALM = RoomCase("calm", rate=20.0, seconds=12.0)
+CALM = MemoryCase("calm", rate=20.0, seconds=12.0)
 
 
-class RoomTest(unittest.TestCase):
-    results: dict[tuple[str, Policy], RoomResult] = {}
+class MemoryModelTest(unittest.TestCase):
+    results: dict[tuple[str, Policy], MemoryResult] = {}
 
     @classmethod
     def setUpClass(cls) -> None:
-        cls.results = {(c.name, p): play(c, p, SEED) for c in CASES for p in Policy}
+        cls.results = {(c.name, p): simulate(c, p, SEED) for c in CASES for p in Policy}
 
-    def test_no_load_serves_a_kind_worse_than_before(self) -> None:
+    def test_share_in_time_does_not_fall_below_the_baseline(self) -> None:
         for case in CASES:
-            before = self.results[case.name, Policy.LOAD]
-            now = self.results[case.name, Policy.ROOM]
+            baseline = self.results[case.name, Policy.LEAST_LOAD]
+            result = self.results[case.name, Policy.FIT_OR_WAIT]
             with self.subTest(case.name):
-                self.assertGreaterEqual(now.long.in_time, before.long.in_time - FALL_MOST)
-                self.assertGreaterEqual(now.short.in_time, before.short.in_time - FALL_MOST)
+                self.assertGreaterEqual(
+                    result.long.in_time, baseline.long.in_time - MAX_IN_TIME_LOSS
+                )
+                self.assertGreaterEqual(
+                    result.short.in_time, baseline.short.in_time - MAX_IN_TIME_LOSS
+                )
 
-    def test_less_is_preempted_and_read_again(self) -> None:
-        """Of all cases, seed 1: 3396 preempted and 2,595,573 tokens before, 2279, 1,858,842 now."""
+    def test_fewer_preemptions_and_recomputed_tokens_than_the_baseline(self) -> None:
         sums = {
             policy: (
-                sum(self.results[case.name, policy].preempted for case in CASES),
-                sum(self.results[case.name, policy].reread for case in CASES),
+                sum(self.results[case.name, policy].preemptions for case in CASES),
+                sum(self.results[case.name, policy].recomputed for case in CASES),
             )
             for policy in Policy
         }
-        self.assertLess(sums[Policy.ROOM][0], sums[Policy.LOAD][0])
-        self.assertLess(sums[Policy.ROOM][1], sums[Policy.LOAD][1])
+        self.assertLess(sums[Policy.FIT_OR_WAIT][0], sums[Policy.LEAST_LOAD][0])
+        self.assertLess(sums[Policy.FIT_OR_WAIT][1], sums[Policy.LEAST_LOAD][1])
 
     def test_short_prompts_are_not_starved_by_long_ones(self) -> None:
         for case in CASES:
             with self.subTest(case.name):
-                found = self.results[case.name, Policy.ROOM]
-                self.assertGreaterEqual(found.short.in_time, found.long.in_time)
+                result = self.results[case.name, Policy.FIT_OR_WAIT]
+                self.assertGreaterEqual(result.short.in_time, result.long.in_time)
 
-    def test_only_what_runs_on_engines_that_go_is_lost(self) -> None:
+    def test_requests_are_lost_only_where_engines_are_lost(self) -> None:
         for case in CASES:
-            found = self.results[case.name, Policy.ROOM]
-            self.assertEqual(bool(found.long.lost), bool(case.gone), case.name)
+            result = self.results[case.name, Policy.FIT_OR_WAIT]
+            self.assertEqual(bool(result.long.lost), bool(case.lost_share), case.name)
 
-    def test_with_room_for_all_everything_is_in_time(self) -> None:
-        found = play(CALM, Policy.ROOM, SEED)
-        self.assertEqual((found.long.late, found.preempted), (0.0, 0))
+    def test_with_enough_memory_no_long_generation_is_late_or_preempted(self) -> None:
+        result = simulate(CALM, Policy.FIT_OR_WAIT, SEED)
+        self.assertEqual((result.long.late, result.preemptions), (0.0, 0))
 
-    def test_a_table_has_a_row_for_each_case_and_policy(self) -> None:
+    def test_table_has_a_row_for_each_case_and_policy(self) -> None:
         rows = list(format_cases((CALM,), SEED))
         self.assertEqual(len(rows), 1 + len(Policy))
 
