--- a/src/daleroad/choosing.py
+++ b/src/daleroad/choosing.py
@@ -99,9 +99,9 @@
         """Pick an upstream for a request from local state; return nothing if there is none.
 
         Prefilling a prompt takes longer than its load takes to reach the other gateways, so short
-        generations use the gateway's preference order. Long ones are picked by load alone: memory
-        use changes slowly, and an engine that leaves can migrate only a limited amount. Requests to
-        services without engines end before other gateways hear of them.
+        generations use the gateway's preference order. Long ones don't: they should go where memory
+        use is least, which changes slowly, since an engine that leaves can migrate only a limited
+        amount. Requests to services without engines end before other gateways hear of them.
 
         :param service: the service.
         :param tokens: tokens of memory that the request may use.
--- a/src/daleroad/picking.py
+++ b/src/daleroad/picking.py
@@ -20,7 +20,7 @@
 """Load subtracted for an upstream in the gateway's own zone, since cross-zone traffic is billed."""
 
 COPY_ZONE_BONUS = 0.5
-"""Load subtracted for a same-zone destination of a migrated generation: half of its memory."""
+"""Load subtracted for an engine in the same zone as the origin of a migration: half a memory."""
 
 FULL_LOAD_PREFILL_TOKENS = 8000.0
 """Prompt tokens awaiting prefill that weigh as much as a full memory. An engine that also generates
--- a/tests/test_crowded.py
+++ b/tests/test_crowded.py
@@ -1,4 +1,4 @@
-"""Tests of long generations that wait for room in an engine instead of being preempted there."""
+"""Tests of long generations that wait for free engine memory instead of being preempted."""
 
 import unittest
 from random import Random
@@ -31,7 +31,7 @@
 SHORT = Prompt((("p", 2000),), 2000, 36)
 
 
-class RoomTest(unittest.TestCase):
+class PlacerMemoryTest(unittest.TestCase):
     def setUp(self) -> None:
         fleet = Fleet()
         self.loads = LoadTotals(9.0)
@@ -40,16 +40,16 @@
         self.placer = Placer(fleet, self.loads, 1.0, Random(1))
 
     def place(self, tokens: int, patient: bool = False) -> PlaceAnswer:
-        asked = PlaceRequest("g9", "z", "s", tokens, 0, (), (), patient=patient)
-        return self.placer.place(asked, SERVICE, 0.1)
+        request = PlaceRequest("g9", "z", "s", tokens, 0, (), (), patient=patient)
+        return self.placer.place(request, SERVICE, 0.1)
 
-    def test_an_engine_where_it_fits_goes_before_one_with_less_to_read(self) -> None:
+    def test_engine_with_enough_memory_is_preferred_to_one_with_less_prefill(self) -> None:
         self.loads.note("g1", (Load("i1", 1, ENGINE.memory_tokens - 1000),), 0.0)
         self.loads.note("g2", (Load("i2", 5, 20_000, 12_000),), 0.0)
         self.assertEqual(self.place(4000).instance, "i2")
         self.assertEqual(self.place(900).instance, "i1")
 
-    def test_where_it_fits_nowhere_the_patient_wait_and_others_go_all_the_same(self) -> None:
+    def test_without_free_memory_only_patient_requests_wait(self) -> None:
         full = ENGINE.memory_tokens - 1000
         self.loads.note("g1", (Load("i1", 6, full), Load("i2", 6, full)), 0.0)
         self.assertEqual(self.place(4000, patient=True), PlaceAnswer("", crowded=True))
@@ -57,9 +57,13 @@
         self.assertEqual(self.place(900, patient=True).crowded, False)
 
 
-class WaitTest(unittest.TestCase):
-    def serve(self, room_after: float, prompt: Prompt) -> tuple[float, list[bool]]:
-        """Return when a request was sent, and for each question whether it was patient."""
+class MemoryWaitTest(unittest.TestCase):
+    def serve(self, free_after: float, prompt: Prompt) -> tuple[float, list[bool]]:
+        """Return the delay of a request, and whether each of its place requests was patient.
+
+        :param free_after: seconds until an engine has enough free memory.
+        :param prompt: the request's prompt.
+        """
 
         async def main() -> tuple[float, list[bool]]:
             dispatcher = FakeDispatcher(WHOLE)
@@ -68,35 +72,35 @@
             )
             gateway.chooser.gateways = 2
             began = anyio.current_time()
-            asked: list[bool] = []
+            patient: list[bool] = []
 
-            async def name(request: PlaceRequest) -> PlaceAnswer:
-                asked.append(request.patient)
-                if request.patient and anyio.current_time() - began < room_after:
+            async def place(request: PlaceRequest) -> PlaceAnswer:
+                patient.append(request.patient)
+                if request.patient and anyio.current_time() - began < free_after:
                     return PlaceAnswer("", crowded=True)
                 return PlaceAnswer("i1")
 
-            gateway.chooser.ask_place = name
+            gateway.chooser.ask_place = place
             answer = await make_forwarder(gateway).serve(make_job(began, prompt=prompt))
             assert isinstance(answer, Whole)
-            return anyio.current_time() - began, asked
+            return anyio.current_time() - began, patient
 
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_a_long_one_goes_when_there_is_room(self) -> None:
-        sent, asked = self.serve(CROWDED_PAUSE_SECONDS, PROMPT)
-        self.assertAlmostEqual(sent, CROWDED_PAUSE_SECONDS)
-        self.assertEqual(asked, [True, True])
+    def test_long_generation_is_sent_once_memory_is_free(self) -> None:
+        delay, patient = self.serve(CROWDED_PAUSE_SECONDS, PROMPT)
+        self.assertAlmostEqual(delay, CROWDED_PAUSE_SECONDS)
+        self.assertEqual(patient, [True, True])
 
-    def test_it_waits_for_a_part_of_its_objective_and_no_longer(self) -> None:
+    def test_wait_is_limited_to_a_part_of_the_objective(self) -> None:
         objective = make_config(Repeat.STREAM).routes[0].objective
-        sent, asked = self.serve(100.0, PROMPT)
-        self.assertLessEqual(sent, CROWDED_OBJECTIVES * objective + CROWDED_PAUSE_SECONDS)
-        self.assertFalse(asked[-1])
+        delay, patient = self.serve(100.0, PROMPT)
+        self.assertLessEqual(delay, CROWDED_OBJECTIVES * objective + CROWDED_PAUSE_SECONDS)
+        self.assertFalse(patient[-1])
 
-    def test_a_short_one_waits_for_nothing(self) -> None:
-        sent, asked = self.serve(100.0, SHORT)
-        self.assertEqual((sent, asked), (0.0, [False]))
+    def test_short_generation_does_not_wait(self) -> None:
+        delay, patient = self.serve(100.0, SHORT)
+        self.assertEqual((delay, patient), (0.0, [False]))
 
 
 if __name__ == "__main__":
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,8 @@
-"""Tests of the smaller decisions: lengths, fairness, placement, health, retries, location."""
+"""Unit tests of the modules that decide without I/O.
+
+Output lengths, fair queueing, placement, stewards, location, leases, ejection, quotas, retries and
+the directory.
+"""
 
 import unittest
 from dataclasses import replace
@@ -36,7 +40,7 @@
 
 class LengthsTest(unittest.TestCase):
     @given(st.lists(st.integers(1, 500), min_size=1, max_size=60), st.integers(0, 500))
-    def test_quantiles_are_of_longer_outputs_only(self, seen: list, produced: int) -> None:
+    def test_quantiles_count_only_longer_outputs(self, seen: list, produced: int) -> None:
         window = LengthWindow()
         for length in seen:
             window.add(length)
@@ -44,13 +48,13 @@
         self.assertEqual(window.get_quantile(0.0, produced), longer[0] if longer else None)
         self.assertEqual(window.get_quantile(1.0, produced), longer[-1] if longer else None)
 
-    def test_the_window_slides(self) -> None:
+    def test_window_slides(self) -> None:
         window = LengthWindow(size=4)
         for length in (1000, 1, 2, 3, 4):
             window.add(length)
         self.assertEqual(window.get_quantile(1.0, 0), 4)
 
-    def test_without_history_a_guess_and_a_new_version_uses_its_route(self) -> None:
+    def test_default_without_history_and_route_history_for_a_new_version(self) -> None:
         lengths = Lengths()
         self.assertEqual(lengths.estimate_rest("r", "m", 0, 10_000, 0.5), LENGTH_UNKNOWN)
         for _ in range(20):
@@ -59,7 +63,7 @@
         self.assertEqual(lengths.estimate_rest("r", "m1", 600, 10_000, 0.5), 600)
         self.assertEqual(lengths.estimate_rest("r", "m1", 600, 700, 0.5), 100)
 
-    def test_a_version_that_changes_its_behaviour_is_learned_anew(self) -> None:
+    def test_window_adapts_to_a_change_of_output_lengths(self) -> None:
         lengths = Lengths()
         for _ in range(600):
             lengths.add("r", "m", 10)
@@ -69,7 +73,7 @@
 
 
 class FairQueueTest(unittest.TestCase):
-    def test_shares_decide_between_partners(self) -> None:
+    def test_partners_are_served_in_proportion_to_their_shares(self) -> None:
         queue: FairQueue[str] = FairQueue()
         queue.set_share("p", 0.75)
         queue.set_share("q", 0.25)
@@ -83,7 +87,7 @@
             queue.charge(item[0], "o", 10)
         self.assertAlmostEqual(served.count("p"), 75, delta=2)
 
-    def test_idle_time_is_not_saved_up(self) -> None:
+    def test_idle_partner_accumulates_no_credit(self) -> None:
         queue: FairQueue[str] = FairQueue()
         for _ in range(100):
             queue.push("p", "o", 1.0, "p")
@@ -92,14 +96,14 @@
         for _ in range(20):
             queue.push("p", "o", 1.0, "p")
             queue.push("q", "o", 1.0, "q")
-        first = []
+        served = []
         for _ in range(10):
             item = queue.pop()
-            first.append(item)
+            served.append(item)
             queue.charge(item, "o", 10)
-        self.assertLessEqual(first.count("q"), 6)
+        self.assertLessEqual(served.count("q"), 6)
 
-    def test_organisations_share_by_weight_and_tokens_not_requests(self) -> None:
+    def test_organisations_share_by_tokens_and_not_by_requests(self) -> None:
         queue: FairQueue[str] = FairQueue()
         for _ in range(300):
             queue.push("p", "long", 1.0, "long")
@@ -113,7 +117,7 @@
         self.assertAlmostEqual(tokens["long"], tokens["short"], delta=110)
 
     @given(st.lists(st.tuples(st.sampled_from("pq"), st.sampled_from("ab")), max_size=40))
-    def test_nothing_is_lost_or_doubled(self, pushes: list) -> None:
+    def test_each_item_is_popped_or_removed_exactly_once(self, pushes: list) -> None:
         queue: FairQueue[int] = FairQueue()
         for number, (partner, organisation) in enumerate(pushes):
             queue.push(partner, organisation, 1.0, number)
@@ -126,40 +130,40 @@
 
 
 class PlacementTest(unittest.TestCase):
-    def test_a_prefix_sticks_to_its_upstream_until_that_is_loaded(self) -> None:
+    def test_prefix_keeps_its_upstream_until_that_is_overloaded(self) -> None:
         upstreams = make_upstreams(6)
         firsts = {
             rank_candidates(upstreams, "prefix", lambda _: 0.2, Random(i))[0].name
             for i in range(20)
         }
         self.assertEqual(len(firsts), 1)
-        (home,) = firsts
-        ranked = rank_candidates(upstreams, "prefix", lambda n: 0.9 * (n == home), Random(1))
-        self.assertNotEqual(ranked[0].name, home)
+        (preferred,) = firsts
+        ranked = rank_candidates(upstreams, "prefix", lambda n: 0.9 * (n == preferred), Random(1))
+        self.assertNotEqual(ranked[0].name, preferred)
         self.assertEqual(len({u.name for u in ranked}), 6)
 
-    def test_without_a_prefix_the_less_loaded_of_two_goes_first(self) -> None:
+    def test_less_loaded_of_two_is_first_without_a_prefix(self) -> None:
         upstreams = make_upstreams(2)
         ranked = rank_candidates(upstreams, "", lambda n: float(n == "u0"), Random(1))
         self.assertEqual(ranked[0].name, "u1")
 
 
 class StewardTest(unittest.TestCase):
-    def test_the_zone_goes_first_and_few_move_when_an_entry_leaves(self) -> None:
+    def test_stewards_are_in_the_zone_and_only_those_of_a_removed_entry_change(self) -> None:
         entries, upstreams = make_entries(12), make_upstreams(300)
         before = {u.name: pick_steward(entries, u) for u in upstreams}
         self.assertTrue(all(before[u.name].zone == u.zone for u in upstreams))
-        fewer = entries[1:]
-        moved = [u for u in upstreams if pick_steward(fewer, u) != before[u.name]]
-        self.assertTrue(all(before[u.name] == entries[0] for u in moved))
+        remaining = entries[1:]
+        changed = [u for u in upstreams if pick_steward(remaining, u) != before[u.name]]
+        self.assertTrue(all(before[u.name] == entries[0] for u in changed))
         counts = [sum(e == entry for e in before.values()) for entry in entries]
         self.assertLess(max(counts), 50)
 
-    def test_a_draining_entry_is_no_steward(self) -> None:
+    def test_draining_entry_is_never_a_steward(self) -> None:
         entries = [EntryMember("e", "a", "z0", "r", State.DRAINING)]
         self.assertIsNone(pick_steward(entries, make_upstreams(1)[0]))
 
-    def test_splits_follow_weights_and_stick(self) -> None:
+    def test_splits_follow_weights_and_are_stable(self) -> None:
         splits = (Split("a", 9.0), Split("b", 1.0))
         chosen = [pick_split(splits, f"k{i}") for i in range(2000)]
         self.assertAlmostEqual(chosen.count("b") / 2000, 0.1, delta=0.03)
@@ -167,22 +171,22 @@
 
 
 class LocationTest(unittest.TestCase):
-    def test_near_ones_first_and_one_far_at_the_end(self) -> None:
+    def test_entries_of_the_zone_are_first_and_one_of_another_zone_is_last(self) -> None:
         picked = pick_addresses(make_entries(12), "z0", 4, Random(1))
         zones = [int(a.removeprefix("http://e")) % 3 for a in picked]
         self.assertEqual((zones[:3], zones[3] != 0), ([0, 0, 0], True))
 
-    def test_the_answer_is_bounded_and_never_names_a_draining_entry(self) -> None:
+    def test_result_is_bounded_and_omits_draining_entries(self) -> None:
         entries = make_entries(350)
-        entries[5] = EntryMember("e5", "drains", "z2", "r", State.DRAINING)
+        entries[5] = EntryMember("e5", "draining", "z2", "r", State.DRAINING)
         for seed in range(200):
             picked = pick_addresses(entries, "z2", 500, Random(seed))
             self.assertLessEqual(len(picked), 16)
-            self.assertNotIn("drains", picked)
+            self.assertNotIn("draining", picked)
 
 
 class RosterTest(unittest.TestCase):
-    def test_in_force_when_applied_or_when_the_lease_ran_out(self) -> None:
+    def test_revision_is_in_force_when_applied_or_the_lease_expired(self) -> None:
         roster = Roster(4.0, since=10.0)
         self.assertFalse(roster.is_in_force(5, ["a", "b"], 10.0))
         roster.follow("a", 5, 11.0)
@@ -191,13 +195,13 @@
         self.assertTrue(roster.is_in_force(5, ["a", "b"], 15.0))
         self.assertEqual(list(roster.list_expired(["a", "b", "c"], 14.5)), ["c"])
 
-    def test_what_an_entry_says_counts_at_once_but_renews_no_lease(self) -> None:
+    def test_noted_revision_counts_at_once_but_renews_no_lease(self) -> None:
         roster = Roster(4.0, since=10.0)
         roster.note_applied("a", 5)
         self.assertTrue(roster.is_in_force(5, ["a"], 10.1))
         self.assertEqual(list(roster.list_expired(["a"], 14.0)), ["a"])
 
-    def test_a_new_leader_waits_out_leases_of_its_predecessor(self) -> None:
+    def test_new_leader_waits_until_leases_of_its_predecessor_expire(self) -> None:
         roster = Roster(4.0, since=10.0)
         self.assertEqual(list(roster.list_expired(["a"], 13.9)), [])
         self.assertFalse(roster.is_in_force(1, ["a"], 13.9))
@@ -205,7 +209,7 @@
 
 
 class HealthTest(unittest.TestCase):
-    def test_a_bad_upstream_is_found_and_a_good_one_kept(self) -> None:
+    def test_detectors_eject_a_failing_upstream_and_keep_a_healthy_one(self) -> None:
         for detector in (Consecutive(5), Sequential()):
             evidence = Evidence(detector)
             results = [evidence.note(False) for _ in range(12)]
@@ -214,17 +218,17 @@
             random = Random(3)
             self.assertFalse(any(evidence.note(random.random() > 0.005) for _ in range(5000)))
 
-    def test_the_sequential_test_finds_a_partly_bad_upstream(self) -> None:
+    def test_sequential_detector_ejects_an_upstream_that_fails_half_of_its_requests(self) -> None:
         evidence = Evidence(Sequential())
         self.assertTrue(any(evidence.note(i % 2 == 0) for i in range(60)))
 
-    def test_never_more_than_a_share_is_ejected_and_a_trial_brings_back(self) -> None:
+    def test_ejected_share_is_bounded_and_a_successful_trial_ends_the_ejection(self) -> None:
         ejector = Ejector(Consecutive(2))
         for name in ("a", "b", "c"):
             for _ in range(5):
                 ejector.note(name, False, among=3, now=0.0)
-        closed = [n for n in ("a", "b", "c") if not ejector.is_open(n, 1.0)]
-        self.assertEqual(closed, ["a"])
+        ejected = [n for n in ("a", "b", "c") if not ejector.is_open(n, 1.0)]
+        self.assertEqual(ejected, ["a"])
         self.assertTrue(ejector.is_open("a", 6.0))
         ejector.take_trial("a", 6.0)
         self.assertFalse(ejector.is_open("a", 6.1))
@@ -233,7 +237,7 @@
 
 
 class QuotaTest(unittest.TestCase):
-    def test_a_limit_holds_and_slots_come_back(self) -> None:
+    def test_limit_is_enforced_and_released_slots_are_reused(self) -> None:
         quota = Quota()
         self.assertIsNone(quota.take("o", "a", 2, 0.0))
         self.assertIsNone(quota.take("o", "b", 2, 0.0))
@@ -242,7 +246,7 @@
         quota.release("o", "a")
         self.assertIsNone(quota.take("o", "c", 2, 0.0))
 
-    def test_slots_of_a_lost_entry_come_free_and_held_ones_stay(self) -> None:
+    def test_slots_expire_unless_they_are_held(self) -> None:
         quota = Quota()
         quota.take("o", "lost", 2, 0.0)
         quota.take("o", "held", 2, 0.0)
@@ -250,7 +254,7 @@
         self.assertIsNone(quota.take("o", "new", 2, 4.5))
         self.assertIsNotNone(quota.take("o", "more", 2, 4.5))
 
-    def test_a_new_counter_learns_the_held_slots_first(self) -> None:
+    def test_new_counter_learns_held_slots_before_it_grants_any(self) -> None:
         quota = Quota()
         quota.note_change(10.0)
         self.assertIsNotNone(quota.take("o", "new", 1, 10.5))
@@ -259,14 +263,14 @@
 
 
 class RetryTest(unittest.TestCase):
-    def test_retries_are_a_share_of_first_tries(self) -> None:
+    def test_retries_are_limited_to_a_share_of_first_attempts(self) -> None:
         budget = RetryBudget(0.1, 3)
         self.assertEqual([budget.take() for _ in range(4)], [True, True, True, False])
         for _ in range(100):
             budget.note_try()
         self.assertEqual(sum(budget.take() for _ in range(50)), 3)
 
-    def test_backoff_grows_with_jitter_to_a_bound(self) -> None:
+    def test_backoff_grows_up_to_a_maximum(self) -> None:
         random = Random(1)
         delays = [get_backoff(attempt, random) for attempt in range(20)]
         self.assertLessEqual(max(delays), 2.0)
@@ -274,17 +278,17 @@
 
 
 class DetectionTest(unittest.TestCase):
-    def test_the_sequential_test_finds_bad_upstreams_sooner_and_keeps_good_ones(self) -> None:
-        found = {(d.detector, d.failure_rate): d for d in compare_detectors((0.02, 0.3, 0.5), 1)}
-        self.assertEqual(found["sequential", 0.02].ejected, 0.0)
+    def test_sequential_detector_is_faster_and_keeps_healthy_upstreams(self) -> None:
+        rows = {(d.detector, d.failure_rate): d for d in compare_detectors((0.02, 0.3, 0.5), 1)}
+        self.assertEqual(rows["sequential", 0.02].ejected, 0.0)
         for rate in (0.3, 0.5):
-            sequential, counting = found["sequential", rate], found["consecutive 5", rate]
+            sequential, consecutive = rows["sequential", rate], rows["consecutive 5", rate]
             self.assertEqual(sequential.ejected, 1.0)
-            self.assertLess(3 * sequential.delay, counting.delay)
+            self.assertLess(3 * sequential.delay, consecutive.delay)
 
 
 class DirectoryTest(unittest.TestCase):
-    def test_tokens_follow_changes_and_removals(self) -> None:
+    def test_token_index_follows_changes_and_removals(self) -> None:
         catalog = Catalog()
         directory = Directory(catalog)
         catalog.store(1, "Organisation", "o", Organisation("o", "p", "h1"))
@@ -309,7 +313,7 @@
         catalog.follow(3, DropUpstream(upstream.name))
         self.assertIsNone(directory.get_steward(upstream.name))
 
-    def test_an_older_change_takes_nothing_back(self) -> None:
+    def test_older_change_does_not_overwrite_a_newer_one(self) -> None:
         catalog = Catalog()
         catalog.follow(5, Put(Organisation("o", "p", "new")))
         catalog.follow(4, Put(Organisation("o", "p", "old")))
--- a/tests/test_spreading.py
+++ b/tests/test_spreading.py
@@ -1,4 +1,4 @@
-"""Tests of how gateways learn which requests are held, over coordinators on loopback."""
+"""Tests of the propagation of held requests to all gateways, over coordinators on loopback."""
 
 import io
 import json
@@ -39,15 +39,15 @@
 
 GATEWAYS = 12
 
-SPREAD_SECONDS = 1.0
-"""Time in which all gateways hold a request; a third of what the platform grants them."""
+MAX_PROPAGATION_SECONDS = 1.0
+"""Bound on the median time from a request's crash reports until all gateways hold it."""
 
-ENTRY_BYTES = 600
-"""Most that a gateway is told of one request: an end takes some 30 bytes, an entry some 200."""
+MAX_SUSPICION_BYTES = 600
+"""Largest encoding of what a gateway is told of one suspected request."""
 
 
 class Sites:
-    """A site's coordinators with some gateways that watch them.
+    """A site's coordinators and the gateways that watch them.
 
     :param site: the coordinators.
     """
@@ -58,7 +58,7 @@
         self._scopes: list[anyio.CancelScope] = []
 
     def add(self, count: int) -> list[Gateway]:
-        """Start some gateways; return them."""
+        """Start gateways and return them."""
         return [self._start() for _ in range(count)]
 
     def _start(self) -> Gateway:
@@ -80,12 +80,12 @@
         return gateway
 
     def end_all(self) -> None:
-        """End all gateways."""
+        """Stop all gateways."""
         for scope in self._scopes:
             scope.cancel()
 
     def crash(self, gateway: Gateway, number: int) -> None:
-        """Let an upstream end under the request of these tests, at a gateway."""
+        """Report to a gateway that an upstream crashed during the request of these tests."""
         job = make_job(anyio.current_time())
         gateway.guard.note_lost(Attempt(job, make_instance(number), "", 1.0))
 
@@ -100,7 +100,7 @@
 
 
 def run_sites(body: Callable) -> None:
-    """Run something with coordinators that gateways watch."""
+    """Run a test body with coordinators that have a configuration for gateways."""
 
     async def main(site: Site, names: list[str]) -> None:
         await site.get(names[0]).log.save(make_document(1))
@@ -109,20 +109,20 @@
     run_site(main)
 
 
-class SpreadingTest(unittest.TestCase):
-    async def hold(self, sites: Sites, gateways: list[Gateway]) -> None:
-        """Let three upstreams end, each under another gateway, and wait until all hold it."""
+class HeldRequestTest(unittest.TestCase):
+    async def hold_request(self, sites: Sites, gateways: list[Gateway]) -> None:
+        """Report each crash to another gateway and wait until all gateways hold the request."""
         await wait_for(lambda: all(g.get_version() for g in gateways))
         for number in range(CRASHES_HELD):
             sites.crash(gateways[number], number + 1)
         await wait_for(lambda: all_hold(gateways))
 
-    def test_ends_seen_by_different_gateways_add_up_at_all_of_them(self) -> None:
+    def test_crashes_reported_to_different_gateways_add_up_at_all_of_them(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
             gateways = sites.add(GATEWAYS)
             began = anyio.current_time()
-            await self.hold(sites, gateways)
-            taken = []
+            await self.hold_request(sites, gateways)
+            durations = []
             for round_number in range(5):
                 began = anyio.current_time()
                 for number in range(CRASHES_HELD):
@@ -130,36 +130,36 @@
                     attempt = Attempt(job, make_instance(number + 1), "", 1.0)
                     gateways[number].guard.note_lost(attempt)
                 await wait_for(partial(all_hold, gateways, job))
-                taken.append(anyio.current_time() - began)
-            self.assertLess(median(taken), SPREAD_SECONDS)
+                durations.append(anyio.current_time() - began)
+            self.assertLess(median(durations), MAX_PROPAGATION_SECONDS)
 
         run_sites(body)
 
-    def test_one_that_has_just_started_knows_before_it_serves(self) -> None:
+    def test_new_gateway_knows_held_requests_once_it_is_configured(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
-            await self.hold(sites, sites.add(3))
-            (fresh,) = sites.add(1)
-            await fresh.configured.wait()
-            await wait_for(lambda: fresh.get_version())
-            self.assertIs(get_standing(fresh), Standing.HELD)
+            await self.hold_request(sites, sites.add(3))
+            (new_gateway,) = sites.add(1)
+            await new_gateway.configured.wait()
+            await wait_for(lambda: new_gateway.get_version())
+            self.assertIs(get_standing(new_gateway), Standing.HELD)
 
         run_sites(body)
 
-    def test_it_outlives_the_leader_that_was_told_first(self) -> None:
+    def test_hold_survives_the_loss_of_the_leader(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
-            await self.hold(sites, sites.add(3))
+            await self.hold_request(sites, sites.add(3))
             leader = sites.site.get_leader()
             assert leader is not None
             await sites.site.kill(leader.options.name)
             await wait_for(sites.site.get_leader)
-            (fresh,) = sites.add(1)
-            await wait_for(lambda: all_hold([fresh]))
+            (new_gateway,) = sites.add(1)
+            await wait_for(lambda: all_hold([new_gateway]))
 
         run_sites(body)
 
-    def test_it_outlives_all_processes(self) -> None:
+    def test_hold_survives_a_restart_of_all_processes(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
-            await self.hold(sites, sites.add(3))
+            await self.hold_request(sites, sites.add(3))
             await anyio.sleep(3 * FLEET_KEPT_SECONDS)
             sites.end_all()
             for name in names[:3]:
@@ -167,32 +167,32 @@
             for name in names[:3]:
                 await sites.site.start(name, founding=False)
             await wait_for(sites.site.get_leader)
-            fresh = sites.add(2)
-            await wait_for(lambda: all_hold(fresh))
+            new_gateways = sites.add(2)
+            await wait_for(lambda: all_hold(new_gateways))
 
         run_sites(body)
 
-    def test_one_that_was_away_learns_it_when_it_is_back(self) -> None:
+    def test_restarted_coordinator_learns_of_a_request_held_without_a_leader(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
             for name in names[1:3]:
                 await sites.site.kill(name)
             gateways = sites.add(3)
             await wait_for(lambda: all(g.heard_at > 0 for g in gateways))
-            # No majority, no leader: what is held needs neither.
+            # Without a majority there is no leader; holding a request needs neither.
             for number in range(CRASHES_HELD):
                 sites.crash(gateways[number], number + 1)
             await wait_for(lambda: all_hold(gateways))
-            back = await sites.site.start(names[1], founding=False)
-            await wait_for(lambda: back.presence.suspects.count_held(anyio.current_time()))
+            restarted = await sites.site.start(names[1], founding=False)
+            await wait_for(lambda: restarted.presence.suspects.count_held(anyio.current_time()))
 
         run_sites(body)
 
-    def test_an_upstream_that_still_beats_takes_its_end_back_everywhere(self) -> None:
+    def test_heartbeat_retracts_an_assumed_crash_at_all_gateways(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
             gateways = sites.add(3)
-            await self.hold(sites, gateways)
+            await self.hold_request(sites, gateways)
 
-            async def beat() -> None:
+            async def send_heartbeats() -> None:
                 sequence = 1
                 while True:
                     sequence += 1
@@ -200,74 +200,76 @@
                     await sites.site.get(names[0]).presence.hear(Sighting(alive, 0.0))
                     await anyio.sleep(0.3)
 
-            sites.site.tasks.start_soon(beat)
+            sites.site.tasks.start_soon(send_heartbeats)
             await wait_for(lambda: all(get_standing(g) is Standing.LAST for g in gateways))
 
         run_sites(body)
 
-    def test_an_operator_lists_it_and_releases_it_everywhere(self) -> None:
+    def test_operator_calls_list_and_release_a_held_request(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
             gateways = sites.add(3)
-            await self.hold(sites, gateways)
+            await self.hold_request(sites, gateways)
             calls = ChannelCalls("secret")
-            place = make_url(names[1])
-            listed = await calls.call(f"{place}/site/suspects", b"{}", SuspectsAnswer)
+            base_url = make_url(names[1])
+            listed = await calls.call(f"{base_url}/site/suspects", b"{}", SuspectsAnswer)
             (name,) = listed.held
-            (known,) = listed.suspicions
-            self.assertEqual((known.fingerprint, known.route), (name, "h/x"))
-            self.assertEqual(set(known.crashes), {"i1", "i2", "i3"})
+            (suspicion,) = listed.suspicions
+            self.assertEqual((suspicion.fingerprint, suspicion.route), (name, "h/x"))
+            self.assertEqual(set(suspicion.crashes), {"i1", "i2", "i3"})
             unknown = encode(ReleaseRequest("0" * 32))
-            refused = await calls.call(f"{place}/site/release", unknown, type(None))
+            refused = await calls.call(f"{base_url}/site/release", unknown, type(None))
             assert isinstance(refused, Failure)
             self.assertIs(refused.kind, FailureKind.NOT_FOUND)
-            done = await calls.call(
-                f"{place}/site/release", encode(ReleaseRequest(name)), type(None)
+            released = await calls.call(
+                f"{base_url}/site/release", encode(ReleaseRequest(name)), type(None)
             )
-            self.assertIsNone(done)
+            self.assertIsNone(released)
             await wait_for(lambda: all(get_standing(g) is Standing.CLEAR for g in gateways))
 
         run_sites(body)
 
-    def test_the_commands_list_and_release_it(self) -> None:
+    def test_commands_list_and_release_a_held_request(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
             gateways = sites.add(3)
-            await self.hold(sites, gateways)
+            await self.hold_request(sites, gateways)
             commands = SuspectCommands()
-            said = io.StringIO()
-            with patch.dict(os.environ, {SECRET_VARIABLE: "secret"}), redirect_stdout(said):
+            output = io.StringIO()
+            with patch.dict(os.environ, {SECRET_VARIABLE: "secret"}), redirect_stdout(output):
                 await anyio.to_thread.run_sync(commands.list, names[0])
-                row = json.loads(said.getvalue())
+                row = json.loads(output.getvalue())
                 await anyio.to_thread.run_sync(commands.release, names[0], row["fingerprint"])
             self.assertEqual((row["held"], len(row["ended"])), (True, CRASHES_HELD))
             await wait_for(lambda: all(get_standing(g) is Standing.CLEAR for g in gateways))
 
         run_sites(body)
 
-    def test_the_leader_lets_one_gateway_try_what_was_held_for_long(self) -> None:
+    def test_only_the_leader_grants_trials_and_one_for_each_request(self) -> None:
         async def body(sites: Sites, names: list[str]) -> None:
-            await self.hold(sites, sites.add(3))
+            await self.hold_request(sites, sites.add(3))
             leader = sites.site.get_leader()
             assert leader is not None
             calls = ChannelCalls("secret")
             (name,) = leader.presence.shared.list_all().held
 
-            async def ask(place: str, fingerprint: str) -> TrialAnswer | Failure:
-                asked = encode(TrialRequest(fingerprint))
-                return await calls.call(f"{make_url(place)}/site/trial", asked, TrialAnswer)
+            async def request_trial(address: str, fingerprint: str) -> TrialAnswer | Failure:
+                request = encode(TrialRequest(fingerprint))
+                return await calls.call(f"{make_url(address)}/site/trial", request, TrialAnswer)
 
-            self.assertEqual(await ask(leader.options.name, name), TrialAnswer(False))
-            self.assertEqual(await ask(leader.options.name, "unknown"), TrialAnswer(True))
-            self.assertEqual(await ask(leader.options.name, "unknown"), TrialAnswer(False))
+            self.assertEqual(await request_trial(leader.options.name, name), TrialAnswer(False))
+            self.assertEqual(await request_trial(leader.options.name, "unknown"), TrialAnswer(True))
+            self.assertEqual(
+                await request_trial(leader.options.name, "unknown"), TrialAnswer(False)
+            )
             other = next(n for n in names[:3] if n != leader.options.name)
-            refused = await ask(other, name)
+            refused = await request_trial(other, name)
             assert isinstance(refused, Failure)
             self.assertIs(refused.kind, FailureKind.NOT_LEADER)
 
         run_sites(body)
 
-    def test_a_gateway_is_told_little_of_each_request(self) -> None:
-        ends = tuple(f"i-{number:010x}@1768712629029" for number in range(CRASHES_HELD))
-        told = Suspicion("f" * 32, "organisation", "host.example/path/x", ends, (), 1.0)
+    def test_encoded_suspicion_is_small(self) -> None:
+        crashes = tuple(f"i-{number:010x}@1768712629029" for number in range(CRASHES_HELD))
+        suspicion = Suspicion("f" * 32, "organisation", "host.example/path/x", crashes, (), 1.0)
         empty = WatchAnswer("e", 1, (), "", 1, None, (), {}, None, 1)
-        size = len(encode(replace(empty, suspicions=(told,)))) - len(encode(empty))
-        self.assertLess(size, ENTRY_BYTES)
+        size = len(encode(replace(empty, suspicions=(suspicion,)))) - len(encode(empty))
+        self.assertLess(size, MAX_SUSPICION_BYTES)
