--- a/src/daleroad/coldmodel.py
+++ b/src/daleroad/coldmodel.py
@@ -1,8 +1,8 @@
-"""Plays requests of many gateways to upstreams that are cold, in virtual time.
+"""Simulates requests of many gateways to cold upstreams, in virtual time.
 
-Compares ways to keep a bound on what one cold upstream gets: none, a share of the bound for each
-gateway, and grants of one process (``sendlimits``). What is looked at is the fullest second of any
-upstream against the bound, and how many requests found no place.
+Compares ways to enforce a limit on each cold upstream: none, a share of the limit for each gateway,
+and grants of one process (``sendlimits``). Reports the most requests that any upstream got in a
+second, relative to the limit, and the share of requests that no upstream could take.
 """
 
 from collections import deque
@@ -14,17 +14,17 @@
 from daleroad.sendlimits import ColdRule, SendLimits
 
 RULE = ColdRule(1.5, 5.0)
-"""The bound of a deployment that has one."""
+"""The rule of a deployment that limits cold upstreams."""
 
-SECONDS = 4.0
-_WAY_SECONDS = 0.02
-"""From a gateway's question to the arrival of its request, at most; the network is calm."""
+SIMULATED_SECONDS = 4.0
+_MAX_REQUEST_DELAY_SECONDS = 0.02
+"""Longest time from when a gateway asks for a grant to the arrival of its request."""
 
-_LEADER_SINCE = -10.0
+_LEADER_STARTED_AT = -10.0
 
 
-class Way(StrEnum):
-    """How the bound is kept."""
+class Policy(StrEnum):
+    """How the limit is enforced."""
 
     NONE = "none"
     SHARES = "shares"
@@ -33,29 +33,29 @@
 
 @dataclass(frozen=True)
 class ColdCase:
-    """One load and one site.
+    """A site and its load.
 
-    :param cold: cold engines; there is no other.
-    :param bears: requests a second that one of them bears.
-    :param load: requests a second over all, as a multiple of what they bear together.
+    :param cold_engines: number of engines, all of them cold.
+    :param engine_rate: requests a second that one engine can handle.
+    :param load: requests a second in all, as a multiple of what the engines can handle together.
     """
 
     gateways: int
-    cold: int
-    bears: float
+    cold_engines: int
+    engine_rate: float
     load: float
 
 
 @dataclass(frozen=True)
 class ColdResult:
-    """What came of it.
+    """The outcome of one case.
 
-    :param fullest: requests in the fullest second of one engine, as a multiple of the bound.
-    :param refused: share of requests that found no place.
+    :param peak_ratio: most requests in any second at one engine, as a multiple of the limit.
+    :param refused_share: share of requests that no engine could take.
     """
 
-    fullest: float
-    refused: float
+    peak_ratio: float
+    refused_share: float
 
 
 @dataclass
@@ -64,106 +64,110 @@
     arrivals: list[float] = field(default_factory=list)
 
 
-class _Shares:
-    """Each gateway sends by itself what its share of the bound allows."""
+class _GatewayShares:
+    """Lets each gateway send what its share of the limit allows."""
 
-    def __init__(self, gateways: int, most: int) -> None:
-        self._each = max(1, most // gateways)
-        self._sent: dict[tuple[int, str], deque[float]] = {}
+    def __init__(self, gateways: int, max_requests: int) -> None:
+        self._share = max(1, max_requests // gateways)
+        self._send_times: dict[tuple[int, str], deque[float]] = {}
 
-    def take(self, gateway: int, engine: str, now: float) -> bool:
-        sent = self._sent.setdefault((gateway, engine), deque())
-        while sent and sent[0] <= now - 1.0:
-            sent.popleft()
-        if len(sent) >= self._each:
+    def try_acquire(self, gateway: int, engine: str, now: float) -> bool:
+        send_times = self._send_times.setdefault((gateway, engine), deque())
+        while send_times and send_times[0] <= now - 1.0:
+            send_times.popleft()
+        if len(send_times) >= self._share:
             return False
-        sent.append(now)
+        send_times.append(now)
         return True
 
 
-class _Granted:
-    """One process counts what goes to each engine."""
+class _LeaderGrants:
+    """Lets one process count the requests to each engine and grant them."""
 
     def __init__(self) -> None:
         self._limits = SendLimits(RULE)
-        self._limits.begin(1, _LEADER_SINCE)
+        self._limits.begin(1, _LEADER_STARTED_AT)
 
-    def take(self, engine: str, bears: float, now: float) -> bool:
-        if not self._limits.may_get(engine, (RULE.make_bound(bears),), now):
+    def try_acquire(self, engine: str, engine_rate: float, now: float) -> bool:
+        if not self._limits.may_get(engine, (RULE.make_bound(engine_rate),), now):
             return False
         self._limits.grant(engine, now)
         return True
 
 
-def play(case: ColdCase, way: Way, seed: int) -> ColdResult:
-    """Return what came of one case.
+def simulate(case: ColdCase, policy: Policy, seed: int) -> ColdResult:
+    """Simulate one case.
 
-    :param case: the load and the site.
-    :param way: how the bound is kept.
-    :param seed: fixes arrivals and choices.
+    :param case: the site and its load.
+    :param policy: how the limit is enforced.
+    :param seed: seed of arrivals and choices.
     """
     random = Random(seed)
-    most = RULE.find_most(case.bears)
-    engines = [_Engine(f"engine-{number}") for number in range(case.cold)]
-    shares, granted = _Shares(case.gateways, most), _Granted()
-    rate = case.load * case.bears * case.cold
-    asked = refused = 0
+    max_requests = RULE.compute_max_requests(case.engine_rate)
+    engines = [_Engine(f"engine-{number}") for number in range(case.cold_engines)]
+    shares, grants = _GatewayShares(case.gateways, max_requests), _LeaderGrants()
+    rate = case.load * case.engine_rate * case.cold_engines
+    sent = refused = 0
     now = random.expovariate(rate)
-    while now < SECONDS:
-        asked += 1
+    while now < SIMULATED_SECONDS:
+        sent += 1
         gateway = random.randrange(case.gateways)
         for engine in random.sample(engines, len(engines)):
-            match way:
-                case Way.NONE:
+            match policy:
+                case Policy.NONE:
                     allowed = True
-                case Way.SHARES:
-                    allowed = shares.take(gateway, engine.name, now)
-                case Way.GRANTS:
-                    allowed = granted.take(engine.name, case.bears, now)
+                case Policy.SHARES:
+                    allowed = shares.try_acquire(gateway, engine.name, now)
+                case Policy.GRANTS:
+                    allowed = grants.try_acquire(engine.name, case.engine_rate, now)
             if allowed:
-                engine.arrivals.append(now + random.uniform(0, _WAY_SECONDS))
+                engine.arrivals.append(now + random.uniform(0, _MAX_REQUEST_DELAY_SECONDS))
                 break
         else:
             refused += 1
         now += random.expovariate(rate)
-    fullest = max(count_fullest(engine.arrivals, 1.0) for engine in engines)
-    return ColdResult(fullest / max(1, most), refused / max(1, asked))
+    peak = max(count_fullest(engine.arrivals, 1.0) for engine in engines)
+    return ColdResult(peak / max(1, max_requests), refused / max(1, sent))
 
 
 def count_fullest(arrivals: Iterable[float], seconds: float) -> int:
-    """Return the most arrivals within any span.
+    """Return the most arrivals within any window.
 
     :param arrivals: their times.
-    :param seconds: length of the span.
+    :param seconds: length of the window.
     """
     window: deque[float] = deque()
-    fullest = 0
+    peak = 0
     for at in sorted(arrivals):
         window.append(at)
         while window[0] <= at - seconds:
             window.popleft()
-        fullest = max(fullest, len(window))
-    return fullest
+        peak = max(peak, len(window))
+    return peak
 
 
 CASES = tuple(
-    ColdCase(gateways, cold, bears, load)
+    ColdCase(gateways, cold_engines, engine_rate, load)
     for gateways in (12, 71, 200)
-    for cold in (2, 20)
-    for bears in (1.0, 27.0, 200.0)
+    for cold_engines in (2, 20)
+    for engine_rate in (1.0, 27.0, 200.0)
     for load in (0.8, 3.0)
 )
-"""Few and many gateways and engines, what one engine bears, and a load below and far above it."""
+"""Few and many gateways and engines, slow and fast engines, and loads below and far above what they
+can handle."""
 
 
 def format_cases(cases: Iterable[ColdCase], seed: int) -> Iterator[str]:
-    """Yield a table of cases with each way: the fullest second over the bound, share refused.
+    """Yield a table of cases, with the peak ratio and the refused share for each policy.
 
     :param cases: the cases.
-    :param seed: fixes arrivals.
+    :param seed: seed of arrivals and choices.
     """
-    yield "gateways  cold  bears  load" + "".join(f"{way:>20}" for way in Way)
+    yield "gateways  cold  bears  load" + "".join(f"{policy:>20}" for policy in Policy)
     for case in cases:
-        results = (play(case, way, seed) for way in Way)
-        cells = "".join(f"{r.fullest:>12.2f}{r.refused:>8.3f}" for r in results)
-        yield f"{case.gateways:>8}{case.cold:>6}{case.bears:>7.0f}{case.load:>6.1f}{cells}"
+        results = (simulate(case, policy, seed) for policy in Policy)
+        cells = "".join(f"{r.peak_ratio:>12.2f}{r.refused_share:>8.3f}" for r in results)
+        yield (
+            f"{case.gateways:>8}{case.cold_engines:>6}{case.engine_rate:>7.0f}{case.load:>6.1f}"
+            f"{cells}"
+        )
--- a/src/daleroad/limitedsends.py
+++ b/src/daleroad/limitedsends.py
@@ -1,4 +1,4 @@
-"""Leave of one gateway to send to upstreams that bear only so much."""
+"""A gateway's grants and fallback shares for limited upstreams, and notices of their limits."""
 
 from collections.abc import Iterable, Iterator
 
@@ -8,62 +8,62 @@
 from daleroad.guarding import Guard
 from daleroad.instances import Instance, InstanceState
 from daleroad.notices import PlaceAnswer, UpstreamNotice
-from daleroad.sendlimits import GRANT_SECONDS, OwnShare
+from daleroad.sendlimits import GRANT_LIFETIME_SECONDS, FallbackShare
 
 
 class LimitedSends:
-    """Leave of one gateway to send to upstreams that bear only so much.
+    """Obtains the grants that one gateway needs to send to limited upstreams.
 
-    :param owner: the gateway.
+    :param gateway_id: the gateway.
     :param fleet: the upstreams that are alive.
-    :param guard: keeps the grants and looks for one before each send.
+    :param guard: stores the grants and requires one for each send to a limited upstream.
     """
 
-    def __init__(self, owner: str, fleet: Fleet, guard: Guard) -> None:
+    def __init__(self, gateway_id: str, fleet: Fleet, guard: Guard) -> None:
         self._fleet = fleet
         self._guard = guard
-        self._share = OwnShare(owner)
+        self._fallback_share = FallbackShare(gateway_id)
 
     def are_among(self, service: str) -> bool:
-        """Return whether a service has upstreams that get only what is granted.
+        """Return whether a service has upstreams that need a grant for each request.
 
         :param service: its name.
         """
         return any(map(self._guard.is_limited, self._fleet.list_ready(service)))
 
     def keep_grant(self, answer: PlaceAnswer, asked_at: float) -> None:
-        """Keep the grant that an answer of the process that places for all gateways holds, if any.
+        """Store the grant in an answer of the leading coordinator, if there is one.
 
         :param answer: the answer.
-        :param asked_at: when it was asked for.
+        :param asked_at: when the gateway asked for it.
         """
         if answer.granted:
-            self._keep(answer.instance, asked_at)
+            self._store_grant(answer.instance, asked_at)
 
-    def _keep(self, instance_id: str, since: float) -> None:
+    def _store_grant(self, instance_id: str, valid_from: float) -> None:
         now = anyio.current_time()
-        self._guard.grants.add(instance_id, since + GRANT_SECONDS, now)
+        self._guard.grants.add(instance_id, valid_from + GRANT_LIFETIME_SECONDS, now)
 
     def take_share(self, instance: Instance, gateways: int) -> bool:
-        """Use this gateway's own share of what an upstream takes; return whether there is some now.
+        """Use this gateway's fallback share of an upstream's limit; return whether it has one now.
 
         :param instance: the upstream.
-        :param gateways: how many gateways there are.
+        :param gateways: the number of gateways.
         """
         rate = self._fleet.get_rate_limit(instance.id)
         if rate is None or self._guard.is_fragile(instance):
             return False
-        return self._share.take(instance.id, rate, gateways, anyio.current_time())
+        return self._fallback_share.try_acquire(instance.id, rate, gateways, anyio.current_time())
 
     def grant_share(self, instance: Instance, gateways: int) -> bool:
-        """Keep a grant out of this gateway's own share; return whether there is some now.
+        """Store a grant from this gateway's fallback share; return whether it has one now.
 
         :param instance: the upstream.
-        :param gateways: how many gateways there are.
+        :param gateways: the number of gateways.
         """
         if not self.take_share(instance, gateways):
             return False
-        self._keep(instance.id, anyio.current_time())
+        self._store_grant(instance.id, anyio.current_time())
         return True
 
     def forget(self, instance_id: str) -> None:
@@ -71,15 +71,15 @@
 
         :param instance_id: the upstream.
         """
-        self._share.forget(instance_id)
+        self._fallback_share.forget(instance_id)
 
 
 def list_limits(fleet: Fleet, names: Iterable[str], now: float) -> Iterator[UpstreamNotice]:
-    """Yield what instances that take new work said of the requests that they take.
+    """Yield notices of the limits that instances advertised.
 
-    Each question for a place has them, so nothing is made for the many that never named a limit.
+    These are part of each place request, so instances that never advertised a limit are left out.
 
-    :param fleet: what is known of them.
+    :param fleet: what is known of the instances.
     :param names: their ids.
     :param now: the time.
     """
@@ -90,9 +90,9 @@
 
 
 def list_notices(fleet: Fleet, names: Iterable[str], now: float) -> Iterator[UpstreamNotice]:
-    """Yield what instances said of themselves in their answers, as others are told of it.
+    """Yield notices of the limit and the leaving state of instances.
 
-    :param fleet: what is known of them.
+    :param fleet: what is known of the instances.
     :param names: their ids.
     :param now: the time.
     """
--- a/src/daleroad/ratelimits.py
+++ b/src/daleroad/ratelimits.py
@@ -1,22 +1,22 @@
-"""The requests a second that an upstream takes, as one process knows them. Pure."""
+"""Rate limits that upstreams advertise, as one process knows them. Does no I/O."""
 
 from dataclasses import dataclass
 
-LIFT_SECONDS = 0.5
-"""An answer without a limit so soon after one with it lifts nothing: it may have been on its way,
-or not all answers of that instance say so."""
+MIN_LIFT_DELAY_SECONDS = 0.5
+"""An answer without a limit lifts the limit only so long after the newest report. An earlier one
+may have been on its way already, or the instance may advertise its limit in some answers only."""
 
-SAME_LIMIT_SHARE = 0.1
-"""Part by which a limit may differ from the one that is known and still be no news. One that an
-instance reckons anew for each answer would wake all processes of a site with each."""
+MAX_IGNORED_CHANGE_FRACTION = 0.1
+"""Change of a known limit, as a fraction of it, that is ignored. An instance that computes its
+limit anew for each answer would wake all processes of a site with each otherwise."""
 
 
 @dataclass(frozen=True)
 class RateLimit:
-    """What an instance said of the requests that it takes from all gateways together.
+    """The rate of requests that an instance takes from all gateways together, as it reported.
 
-    :param rate: requests a second; nothing where it names no limit any more.
-    :param age: seconds since it said so.
+    :param rate: requests a second, or None if the instance advertises no limit any more.
+    :param age: seconds since the report.
     """
 
     rate: float | None
@@ -25,42 +25,42 @@
 
 @dataclass
 class KnownLimit:
-    """The newest that is known of one upstream's limit.
+    """The newest known limit of one upstream.
 
-    :param rate: requests a second; nothing where it names no limit.
+    :param rate: requests a second, or None without a limit.
     """
 
     rate: float | None = None
-    _said_at: float = float("-inf")
-    _was_named: bool = False
+    _reported_at: float = float("-inf")
+    _was_advertised: bool = False
 
     def note(self, limit: RateLimit, now: float) -> bool:
-        """Take in what the upstream said; return whether that is news.
+        """Take in a report, unless a newer one is known; return whether it changes the limit.
 
-        :param limit: what it said, and how long ago; the newest counts.
+        :param limit: the report.
         :param now: the time.
         """
-        said_at = now - limit.age
+        reported_at = now - limit.age
         lifts = limit.rate is None and self.rate is not None
-        if said_at < self._said_at + (LIFT_SECONDS if lifts else 0):
+        if reported_at < self._reported_at + (MIN_LIFT_DELAY_SECONDS if lifts else 0):
             return False
-        self._said_at = said_at
-        if not _is_other(self.rate, limit.rate):
+        self._reported_at = reported_at
+        if not _differs(self.rate, limit.rate):
             return False
         self.rate = limit.rate
-        self._was_named = True
+        self._was_advertised = True
         return True
 
     def tell(self, now: float) -> RateLimit | None:
-        """Return it as others are told of it, if the upstream ever named a limit.
+        """Return the limit as a report to other processes, or None if there never was one.
 
         :param now: the time.
         """
-        return RateLimit(self.rate, now - self._said_at) if self._was_named else None
+        return RateLimit(self.rate, now - self._reported_at) if self._was_advertised else None
 
 
-def _is_other(known: float | None, said: float | None) -> bool:
-    """Return whether a limit differs from the one that is known by enough to be news."""
-    if known is None or said is None:
-        return known is not said
-    return abs(said - known) > SAME_LIMIT_SHARE * known
+def _differs(known: float | None, reported: float | None) -> bool:
+    """Return whether a reported limit differs enough from the known one to replace it."""
+    if known is None or reported is None:
+        return known is not reported
+    return abs(reported - known) > MAX_IGNORED_CHANGE_FRACTION * known
--- a/src/daleroad/sendlimits.py
+++ b/src/daleroad/sendlimits.py
@@ -1,16 +1,18 @@
-"""How many requests upstreams get that bear only so many: granted one by one, by one process. Pure.
-
-An upstream that is cold bears so many requests a second and ends under many more; one in need names
-in its answers how many it takes from all gateways together. Shares that each gateway keeps by
-itself can't hold a bound that is below the number of gateways: one request each, at the same
-moment, is too much already (1.6 to 2.3 times the bound at 71 and 200 gateways, cold engines that
-bear 27, three times the load; 1.0 with grants: ``daleroad cold``). So the process that places
-requests for all gateways counts what it lets go to each upstream, and a gateway sends to one that
-it knows to be limited only what was granted a moment ago. What the gateways don't know to be cold
-yet is counted all the same.
-
-Where no process grants, nothing goes to what is cold, which would end. What named a limit gets
-:class:`OwnShare`: little, at moments that the gateways draw by lot.
+"""Sliding-window limits on requests to upstreams, enforced by grants of the leading coordinator.
+
+A cold upstream fails under more requests a second than it can handle, and one under pressure
+advertises in its answers how many it takes from all gateways together. Shares that each gateway
+enforces by itself can't hold a limit below the number of gateways: one request from each at the
+same moment exceeds it (``daleroad cold`` compares the two). So the leading coordinator, which
+places requests for all gateways, counts what it grants for each upstream, and a gateway sends to
+an upstream that it knows to be limited only with a recent grant. Requests to an upstream that
+gateways don't know to be cold yet are counted, too.
+
+Without a leading coordinator nothing is sent to cold upstreams, since the load could end them.
+Upstreams that advertise a limit then get :class:`FallbackShare`: a fraction of the limit, in time
+slots that each gateway draws by hash.
+
+Does no I/O.
 """
 
 import math
@@ -22,193 +24,197 @@
 
 from daleroad.defaults import CONNECT_SECONDS
 
-GRANT_SECONDS = 0.2
-"""How long a grant holds, from when its gateway asked for it: the answer is waited for 0.08 s, and
-what is granted is sent at once."""
+GRANT_LIFETIME_SECONDS = 0.2
+"""Lifetime of a grant, from when its gateway asked for it. The gateway waits 0.08 s for the answer
+and sends the request at once then."""
 
-LATE_SECONDS = GRANT_SECONDS + CONNECT_SECONDS
-"""How long after its grant a request arrives at the latest: as late as the grant holds and its
-connection takes. Bounds are for any span in which requests arrive."""
+MAX_ARRIVAL_DELAY_SECONDS = GRANT_LIFETIME_SECONDS + CONNECT_SECONDS
+"""Longest time from a grant to the arrival of its request: the grant's lifetime and the time limit
+of the connection. Limits hold for arrivals, not for grants."""
 
-COUNTED_SECONDS = 1.0 + LATE_SECONDS
-"""Span in which grants are counted for a bound on one second."""
+LOOKBACK_SECONDS = 1.0 + MAX_ARRIVAL_DELAY_SECONDS
+"""How far back grants count towards a limit on one second."""
 
-EVEN_SECONDS = 4.0
-"""Span over which a named limit is kept; in each second of it no more than its part, rounded up."""
+SMOOTHING_WINDOW_SECONDS = 4.0
+"""Window over which an advertised limit holds; within it, each second gets at most its part,
+rounded up."""
 
-PROBE_SECONDS = 10.0
-"""An upstream with a limit near 0 gets one request in so long: only an answer tells that it has
-lifted it."""
+PROBE_INTERVAL_SECONDS = 10.0
+"""Interval at which an upstream with a limit near 0 gets one request, since only an answer tells
+that the limit is lifted."""
 
-KEPT_SECONDS = PROBE_SECONDS + LATE_SECONDS
-"""How long a grant is remembered; no bound looks further back."""
+MAX_LOOKBACK_SECONDS = PROBE_INTERVAL_SECONDS + MAX_ARRIVAL_DELAY_SECONDS
+"""How long a grant is remembered; no limit looks further back."""
 
-OWN_SHARE = 0.5
-"""Part of a limit that gateways use where no process grants. Each draws its moments alone, so now
-and then more of them coincide; what others were granted before is still on its way, too."""
+FALLBACK_FRACTION = 0.5
+"""Fraction of a limit that gateways use without a leading coordinator. They draw their slots
+independently, so slots may coincide, and requests that were granted before may still arrive."""
 
 
 @dataclass(frozen=True)
 class Bound:
-    """How many requests may arrive in any span.
+    """A limit on the requests that arrive in any window of some length.
 
-    :param seconds: length of the span.
+    :param window_seconds: length of the window.
     """
 
-    most: int
-    seconds: float
+    max_requests: int
+    window_seconds: float
 
 
 @dataclass(frozen=True)
 class ColdRule:
-    """What upstreams bear while they are cold.
+    """What cold upstreams may get.
 
-    :param overage: requests in a second at most, as a multiple of what a service's upstreams bear.
-    :param tolerance: requests in a second beyond that.
+    :param overage: allowed requests a second, as a multiple of the service's cold rate.
+    :param tolerance: allowed requests a second beyond that.
     """
 
     overage: float = 1.0
     tolerance: float = 0.0
 
-    def find_most(self, rate: float) -> int:
-        """Return how many requests one upstream may get in any second.
+    def compute_max_requests(self, rate: float) -> int:
+        """Return how many requests one cold upstream may get in any second.
 
-        :param rate: requests a second that a cold upstream of the service bears.
+        :param rate: requests a second that a cold upstream of the service can handle.
         """
         return math.floor(rate * self.overage + self.tolerance)
 
     def make_bound(self, rate: float) -> Bound:
-        """Return the bound on what one upstream may get while it is cold.
+        """Return the limit on what one upstream may get while it is cold.
 
-        :param rate: requests a second that a cold upstream of the service bears.
+        :param rate: requests a second that a cold upstream of the service can handle.
         """
-        return Bound(self.find_most(rate), 1.0)
+        return Bound(self.compute_max_requests(rate), 1.0)
 
 
 def make_limit_bounds(rate: float) -> tuple[Bound, ...]:
-    """Return the bounds on what an upstream may get that named a limit.
+    """Return the window limits for an upstream that advertises a rate.
 
-    The first keeps what is granted even, so that two leaders, one after the other, which don't know
-    of each other's grants, add up to little more than the limit.
+    The first spreads grants evenly, so that two successive leaders, which don't know each other's
+    grants, exceed the rate only a little together.
 
-    :param rate: requests a second that it takes.
+    :param rate: requests a second that the upstream takes.
     """
-    span = EVEN_SECONDS
-    if rate * span < 1:
-        span = PROBE_SECONDS if rate * PROBE_SECONDS < 1 else 1 / rate
-    return (Bound(max(1, math.ceil(rate)), 1.0), Bound(max(1, math.floor(rate * span)), span))
+    window = SMOOTHING_WINDOW_SECONDS
+    if rate * window < 1:
+        window = PROBE_INTERVAL_SECONDS if rate * PROBE_INTERVAL_SECONDS < 1 else 1 / rate
+    return (Bound(max(1, math.ceil(rate)), 1.0), Bound(max(1, math.floor(rate * window)), window))
 
 
 @dataclass
 class SendLimits:
-    """Counts what goes to upstreams that have a bound, or may soon have one.
+    """Counts grants per upstream, for upstreams that have a limit or may soon have one.
 
-    What another process granted before this one began to is not known here, so upstreams with a
-    bound get nothing until what counts of it for any second can't arrive any more.
+    Grants of a former leader are not known here. So upstreams with a limit get nothing until those
+    that count towards a limit on one second can't arrive any more.
 
-    :param rule: what upstreams bear while they are cold.
+    :param rule: what cold upstreams may get.
     """
 
     rule: ColdRule
     _term: int = -1
-    _begun_at: float = float("inf")
-    _granted: dict[str, deque[float]] = field(default_factory=dict)
+    _term_started_at: float = float("inf")
+    _grant_times: dict[str, deque[float]] = field(default_factory=dict)
 
     def begin(self, term: int, now: float) -> None:
-        """Note that this process grants in some term; the same one may be noted again and again.
+        """Note that this process leads in a term; repeated calls for one term have no effect.
 
         :param term: the term.
         :param now: the time.
         """
         if term != self._term:
             self._term = term
-            self._begun_at = now
+            self._term_started_at = now
 
     def is_full(self, instance_id: str, bounds: Sequence[Bound], now: float) -> bool:
-        """Return whether an upstream has had as many requests as it may.
+        """Return whether the grants for an upstream have reached one of its limits.
 
         :param instance_id: the upstream.
-        :param bounds: all of these hold.
+        :param bounds: the limits, all of which hold.
         :param now: the time.
         """
-        granted = self._granted.get(instance_id, deque())
-        return any(_count_late(granted, bound, now) >= bound.most for bound in bounds)
+        grant_times = self._grant_times.get(instance_id, deque())
+        return any(_count_recent(grant_times, bound, now) >= bound.max_requests for bound in bounds)
 
     def may_get(self, instance_id: str, bounds: Sequence[Bound], now: float) -> bool:
-        """Return whether an upstream that has bounds may get another request now.
+        """Return whether an upstream with limits may get another request now.
 
         :param instance_id: the upstream.
-        :param bounds: all of these hold.
+        :param bounds: the limits, all of which hold.
         :param now: the time.
         """
-        known_all = now >= self._begun_at + COUNTED_SECONDS
-        return known_all and not self.is_full(instance_id, bounds, now)
+        knows_recent_grants = now >= self._term_started_at + LOOKBACK_SECONDS
+        return knows_recent_grants and not self.is_full(instance_id, bounds, now)
 
     def grant(self, instance_id: str, now: float) -> None:
-        """Count a request that goes to an upstream.
+        """Record a grant for one request to an upstream.
 
         :param instance_id: the upstream.
         :param now: the time.
         """
-        granted = self._granted.setdefault(instance_id, deque())
-        _drop_old(granted, now)
-        granted.append(now)
+        grant_times = self._grant_times.setdefault(instance_id, deque())
+        _drop_expired(grant_times, now)
+        grant_times.append(now)
 
     def prune(self, now: float) -> None:
-        """Forget upstreams that got nothing of late.
+        """Forget upstreams without recent grants.
 
         :param now: the time.
         """
-        for instance_id, granted in list(self._granted.items()):
-            _drop_old(granted, now)
-            if not granted:
-                del self._granted[instance_id]
+        for instance_id, grant_times in list(self._grant_times.items()):
+            _drop_expired(grant_times, now)
+            if not grant_times:
+                del self._grant_times[instance_id]
 
 
-def _count_late(granted: deque[float], bound: Bound, now: float) -> int:
-    """Return how many grants may arrive in one span with a request that is granted now."""
-    oldest = now - bound.seconds - LATE_SECONDS
+def _count_recent(grant_times: deque[float], bound: Bound, now: float) -> int:
+    """Return how many granted requests may arrive in one window with one that is granted now.
+
+    Counting stops at the limit.
+    """
+    oldest = now - bound.window_seconds - MAX_ARRIVAL_DELAY_SECONDS
     count = 0
-    for at in reversed(granted):
-        if at <= oldest or count >= bound.most:
+    for at in reversed(grant_times):
+        if at <= oldest or count >= bound.max_requests:
             break
         count += 1
     return count
 
 
-def _drop_old(granted: deque[float], now: float) -> None:
-    """Drop the times of grants that no bound counts any more."""
-    while granted and granted[0] <= now - KEPT_SECONDS:
-        granted.popleft()
+def _drop_expired(grant_times: deque[float], now: float) -> None:
+    """Drop the times of grants that no limit counts any more."""
+    while grant_times and grant_times[0] <= now - MAX_LOOKBACK_SECONDS:
+        grant_times.popleft()
 
 
 @dataclass
-class OwnShare:
-    """What one gateway sends to upstreams with a limit where no process grants.
+class FallbackShare:
+    """What one gateway sends to upstreams with an advertised limit without a leading coordinator.
 
-    Time is cut into slots in each of which one request goes there, if the limit were all used. A
-    gateway owns a slot with a chance of one over the number of gateways, drawn by hash, and what
-    it does not use of it is gone: saved up, the shares of idle gateways would be sent at once.
+    Time is divided into slots, one for each request that the fraction of the limit allows. Each
+    gateway owns a slot with a probability of one over the number of gateways, drawn by hash. Unused
+    slots are not saved up, or idle gateways could send their shares all at once.
 
-    :param owner: the gateway.
+    :param gateway_id: the gateway.
     """
 
-    owner: str
-    _used: dict[str, int] = field(default_factory=dict)
+    gateway_id: str
+    _last_used_slots: dict[str, int] = field(default_factory=dict)
 
-    def take(self, instance_id: str, rate: float, gateways: int, now: float) -> bool:
-        """Use the present slot, if it is this gateway's and still unused; return whether it was.
+    def try_acquire(self, instance_id: str, rate: float, gateways: int, now: float) -> bool:
+        """Use the current slot if this gateway owns it and hasn't used it; return whether it did.
 
         :param instance_id: the upstream.
-        :param rate: requests a second that it takes from all gateways.
-        :param gateways: how many there are.
+        :param rate: requests a second that the upstream takes from all gateways.
+        :param gateways: the number of gateways.
         :param now: the time.
         """
-        slot = math.floor(now * max(OWN_SHARE * rate, 1 / PROBE_SECONDS))
-        drawn = xxh3_64_intdigest(f"{self.owner} {instance_id} {slot}".encode())
-        if drawn % max(1, gateways) or self._used.get(instance_id) == slot:
+        slot = math.floor(now * max(FALLBACK_FRACTION * rate, 1 / PROBE_INTERVAL_SECONDS))
+        slot_hash = xxh3_64_intdigest(f"{self.gateway_id} {instance_id} {slot}".encode())
+        if slot_hash % max(1, gateways) or self._last_used_slots.get(instance_id) == slot:
             return False
-        self._used[instance_id] = slot
+        self._last_used_slots[instance_id] = slot
         return True
 
     def forget(self, instance_id: str) -> None:
@@ -216,33 +222,35 @@
 
         :param instance_id: the upstream.
         """
-        self._used.pop(instance_id, None)
+        self._last_used_slots.pop(instance_id, None)
 
 
 @dataclass
 class Grants:
-    """The grants that one gateway holds; each serves one request."""
+    """The unused grants of one gateway; each allows one request."""
 
-    _until: dict[str, list[float]] = field(default_factory=dict)
+    _expiry_times: dict[str, list[float]] = field(default_factory=dict)
 
-    def add(self, instance_id: str, until: float, now: float) -> None:
-        """Keep a grant.
+    def add(self, instance_id: str, expires_at: float, now: float) -> None:
+        """Store a grant, and drop those that have expired.
 
-        :param instance_id: the upstream that it is for.
-        :param until: when it ends.
+        :param instance_id: the upstream that the grant is for.
+        :param expires_at: when it expires.
         :param now: the time.
         """
-        kept = ((name, [t for t in times if t > now]) for name, times in self._until.items())
-        self._until = {name: times for name, times in kept if times}
-        self._until.setdefault(instance_id, []).append(until)
+        valid = (
+            (name, [t for t in times if t > now]) for name, times in self._expiry_times.items()
+        )
+        self._expiry_times = {name: times for name, times in valid if times}
+        self._expiry_times.setdefault(instance_id, []).append(expires_at)
 
     def take(self, instance_id: str, now: float) -> bool:
-        """Use a grant up; return whether there was one.
+        """Consume a valid grant; return whether there was one.
 
         :param instance_id: the upstream that a request goes to.
         :param now: the time.
         """
-        times = self._until.get(instance_id, [])
+        times = self._expiry_times.get(instance_id, [])
         while times:
             if times.pop(0) > now:
                 return True
--- a/tests/test_coldlimits.py
+++ b/tests/test_coldlimits.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on what a cold upstream gets, over all gateways."""
+"""Tests of the limit on requests to a cold upstream, from all gateways together."""
 
 import unittest
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from daleroad.backpressure import Backpressure
-from daleroad.coldmodel import CASES, Way, play
+from daleroad.coldmodel import CASES, Policy, simulate
 from daleroad.defaults import CONNECT_SECONDS
 from daleroad.dispatch import Attempt, NotRun, Whole
 from daleroad.errors import Failure, FailureKind, Ran
@@ -22,9 +22,9 @@
 from daleroad.placer import Placer
 from daleroad.routing import Repeat, RoutingConfig, ServiceRule
 from daleroad.sendlimits import (
-    COUNTED_SECONDS,
-    GRANT_SECONDS,
-    KEPT_SECONDS,
+    GRANT_LIFETIME_SECONDS,
+    LOOKBACK_SECONDS,
+    MAX_LOOKBACK_SECONDS,
     ColdRule,
     Grants,
     SendLimits,
@@ -43,43 +43,43 @@
 
 RULE = ColdRule(1.5, 5.0)
 RATE = 2.0
-MOST = 8
+MAX_REQUESTS = 8
 BOUND = (RULE.make_bound(RATE),)
 COLD = ServiceRule("s", "/", 100, ENGINE, RATE)
-PLAYED = [case for case in CASES if case.bears < 100]
-"""Cases of the model that a test can afford; the others take minutes."""
+FAST_CASES = [case for case in CASES if case.engine_rate < 100]
+"""Cases that are quick to simulate."""
 
-ASKED = PlaceRequest("g", "z", "s", 100, 100, (), ())
+PLACE_REQUEST = PlaceRequest("g", "z", "s", 100, 100, (), ())
 
 
-class LimitTest(unittest.TestCase):
-    def test_the_bound_is_the_rule_s(self) -> None:
-        self.assertEqual(RULE.find_most(27.0), 45)
-        self.assertEqual(RULE.find_most(RATE), MOST)
+class SendLimitsTest(unittest.TestCase):
+    def test_limit_follows_from_rule(self) -> None:
+        self.assertEqual(RULE.compute_max_requests(27.0), 45)
+        self.assertEqual(RULE.compute_max_requests(RATE), MAX_REQUESTS)
 
-    def test_a_process_that_begins_grants_nothing_before_others_grants_are_over(self) -> None:
+    def test_new_leader_grants_nothing_until_earlier_grants_expire(self) -> None:
         limits = SendLimits(RULE)
         self.assertFalse(limits.may_get("i", BOUND, 0.0))
         limits.begin(3, 10.0)
         limits.begin(3, 11.0)
-        self.assertFalse(limits.may_get("i", BOUND, 10.0 + COUNTED_SECONDS - 0.01))
-        self.assertTrue(limits.may_get("i", BOUND, 10.0 + COUNTED_SECONDS))
+        self.assertFalse(limits.may_get("i", BOUND, 10.0 + LOOKBACK_SECONDS - 0.01))
+        self.assertTrue(limits.may_get("i", BOUND, 10.0 + LOOKBACK_SECONDS))
         limits.begin(5, 20.0)
         self.assertFalse(limits.may_get("i", BOUND, 20.0))
 
-    def test_upstreams_that_got_nothing_of_late_are_forgotten(self) -> None:
+    def test_prune_forgets_upstreams_without_recent_grants(self) -> None:
         limits = SendLimits(RULE)
         limits.grant("i", 10.0)
         limits.grant("j", 10.0)
-        self.assertFalse(limits.is_full("i", BOUND, 10.0 + COUNTED_SECONDS))
-        later = 10.0 + KEPT_SECONDS
+        self.assertFalse(limits.is_full("i", BOUND, 10.0 + LOOKBACK_SECONDS))
+        later = 10.0 + MAX_LOOKBACK_SECONDS
         limits.prune(later)
-        self.assertEqual(limits._granted, {})
+        self.assertEqual(limits._grant_times, {})
         limits.grant("i", later)
         limits.prune(later)
-        self.assertEqual(list(limits._granted), ["i"])
+        self.assertEqual(list(limits._grant_times), ["i"])
 
-    def test_a_grant_serves_one_request_and_not_for_long(self) -> None:
+    def test_grant_allows_one_request_and_expires(self) -> None:
         grants = Grants()
         grants.add("i", 1.0, 0.5)
         grants.add("i", 2.0, 0.5)
@@ -91,139 +91,139 @@
 
 
 @dataclass
-class Site:
-    """Gateways and leaders that come and go, one cold engine, and news that is late."""
+class SimulatedSite:
+    """Gateways and leaders that restart, one cold engine, and delayed answers and requests."""
 
     random: Random
     leader: SendLimits = field(default_factory=lambda: SendLimits(RULE))
     term: int = 1
-    lease_from: float = 0.0
+    lease_started_at: float = 0.0
     arrivals: list[float] = field(default_factory=list)
 
-    def ask(self, now: float) -> None:
-        """Let a gateway ask, and do with the answer what it may at the latest or earliest."""
-        granted_at = now + self.random.choice((0.0, self.random.random() * GRANT_SECONDS))
-        if granted_at < self.lease_from or not self.leader.may_get("i", BOUND, granted_at):
+    def request_grant(self, now: float) -> None:
+        """Let a gateway ask for a grant and use it after a random delay."""
+        granted_at = now + self.random.choice((0.0, self.random.random() * GRANT_LIFETIME_SECONDS))
+        if granted_at < self.lease_started_at or not self.leader.may_get("i", BOUND, granted_at):
             return
         self.leader.grant("i", granted_at)
         if self.random.random() < 0.1:
-            # This gateway ends and starts again; it holds nothing then.
+            # The gateway restarts and loses the grant.
             return
         grants = Grants()
-        answered_at = granted_at + self.random.random() * GRANT_SECONDS
-        grants.add("i", now + GRANT_SECONDS, answered_at)
+        answered_at = granted_at + self.random.random() * GRANT_LIFETIME_SECONDS
+        grants.add("i", now + GRANT_LIFETIME_SECONDS, answered_at)
         sent_at = answered_at + self.random.choice((0.0, self.random.random()))
         if grants.take("i", sent_at):
             self.arrivals.append(sent_at + self.random.random() * CONNECT_SECONDS)
 
-    def move_leader(self, now: float) -> None:
-        """Let another process lead, that may have led before; leases don't overlap."""
+    def change_leader(self, now: float) -> None:
+        """Start another leader in a new term; leases don't overlap."""
         self.term += 1
-        self.lease_from = now + GRANT_SECONDS
+        self.lease_started_at = now + GRANT_LIFETIME_SECONDS
         self.leader = SendLimits(RULE)
-        self.leader.begin(self.term, self.lease_from)
+        self.leader.begin(self.term, self.lease_started_at)
 
 
-class BoundTest(unittest.TestCase):
+class ColdLimitTest(unittest.TestCase):
     @given(st.integers(0, 10**9))
-    def test_no_interleaving_gives_a_cold_engine_more_than_the_bound(self, seed: int) -> None:
+    def test_random_interleavings_stay_within_limit(self, seed: int) -> None:
         random = Random(seed)
-        site = Site(random)
-        site.leader.begin(1, -COUNTED_SECONDS)
+        site = SimulatedSite(random)
+        site.leader.begin(1, -LOOKBACK_SECONDS)
         now = 0.0
         for _ in range(300):
             now += random.choice((0.0, random.expovariate(60.0), random.expovariate(1.0)))
             if random.random() < 0.02:
-                site.move_leader(now)
-            site.ask(now)
+                site.change_leader(now)
+            site.request_grant(now)
         times = sorted(site.arrivals)
         for number, at in enumerate(times):
-            within = sum(at <= other < at + 1.0 for other in times[number:])
-            self.assertLessEqual(within, MOST)
+            arrived = sum(at <= other < at + 1.0 for other in times[number:])
+            self.assertLessEqual(arrived, MAX_REQUESTS)
 
-    def test_grants_keep_the_bound_where_shares_can_t(self) -> None:
-        broken = dict.fromkeys(Way, 0)
+    def test_grants_hold_limit_that_shares_exceed(self) -> None:
+        violations = dict.fromkeys(Policy, 0)
         for case in CASES:
-            for way in Way:
-                broken[way] += play(case, way, 1).fullest > 1.0
-        self.assertEqual(broken[Way.GRANTS], 0)
-        self.assertGreater(broken[Way.SHARES], 0)
+            for policy in Policy:
+                violations[policy] += simulate(case, policy, 1).peak_ratio > 1.0
+        self.assertEqual(violations[Policy.GRANTS], 0)
+        self.assertGreater(violations[Policy.SHARES], 0)
 
-    def test_below_what_cold_engines_bear_nothing_is_refused(self) -> None:
-        for case in PLAYED:
-            if case.load < 1 and case.bears > 1:
-                self.assertLess(play(case, Way.GRANTS, 2).refused, 0.01)
+    def test_load_below_capacity_is_not_refused(self) -> None:
+        for case in FAST_CASES:
+            if case.load < 1 and case.engine_rate > 1:
+                self.assertLess(simulate(case, Policy.GRANTS, 2).refused_share, 0.01)
 
 
-class NewsTest(unittest.TestCase):
+class ColdNoticeTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = Fleet()
         self.fleet.note(Sighting(make_instance(1), 0.0), 100.0)
 
-    def test_that_an_instance_became_cold_is_news_and_its_next_word_ends_it(self) -> None:
-        known = self.fleet.revision
-        colder = replace(make_instance(1), sequence=2)
-        self.fleet.note(Sighting(colder, 0.0, 1.5), 101.0)
-        (told,) = self.fleet.list_changed(101.0, known)
-        self.assertEqual(told.cold, 1.5)
-        known = self.fleet.revision
-        self.fleet.note(Sighting(replace(colder, sequence=3), 0.0, 0.4), 102.0)
-        self.assertEqual(self.fleet.revision, known)
+    def test_becoming_cold_is_announced_and_next_heartbeat_ends_it(self) -> None:
+        revision = self.fleet.revision
+        cold_instance = replace(make_instance(1), sequence=2)
+        self.fleet.note(Sighting(cold_instance, 0.0, 1.5), 101.0)
+        (sighting,) = self.fleet.list_changed(101.0, revision)
+        self.assertEqual(sighting.cold, 1.5)
+        revision = self.fleet.revision
+        self.fleet.note(Sighting(replace(cold_instance, sequence=3), 0.0, 0.4), 102.0)
+        self.assertEqual(self.fleet.revision, revision)
         self.assertTrue(self.fleet.is_cold("i1", 102.0))
-        self.fleet.note(Sighting(replace(colder, sequence=4), 0.0), 102.1)
+        self.fleet.note(Sighting(replace(cold_instance, sequence=4), 0.0), 102.1)
         self.assertFalse(self.fleet.is_cold("i1", 102.1))
 
-    def test_a_zone_that_is_used_again_counts_as_cold_until_it_is_heard(self) -> None:
+    def test_reused_zone_counts_as_cold_for_given_seconds(self) -> None:
         self.fleet.note_cold_zone("z", 2.0, 101.0)
         self.assertTrue(self.fleet.is_cold("i1", 102.9))
         self.assertFalse(self.fleet.is_cold("i1", 103.1))
         self.fleet.note_cold_zone("other", 2.0, 104.0)
         self.assertFalse(self.fleet.is_cold("i1", 104.0))
 
-    def test_an_instance_may_say_so_in_any_answer(self) -> None:
+    def test_answer_can_report_cold(self) -> None:
         self.fleet.note_cold("i1", 1.0, 101.0)
         self.fleet.note_cold("unknown", 1.0, 101.0)
         self.assertTrue(self.fleet.is_cold("i1", 101.5))
 
 
 class PlacerTest(unittest.TestCase):
-    def place(self, cold: tuple[int, ...], count: int, led_for: float = 9.0) -> list[str]:
-        """Return the engines named for some prompts at once, of two of which some are cold."""
+    def place(self, cold: tuple[int, ...], count: int, term_age: float = 9.0) -> list[str]:
+        """Return the engines chosen for prompts at one time, out of two, with some of them cold."""
         fleet = Fleet()
         for number in (1, 2):
             fleet.note(Sighting(make_instance(number), 0.0, 9.0 if number in cold else 0.0), 10.0)
         limits = SendLimits(RULE)
-        limits.begin(1, 10.0 - led_for)
+        limits.begin(1, 10.0 - term_age)
         placer = Placer(fleet, LoadTotals(9.0), 1.0, Random(1), limits)
-        found = (placer.place(ASKED, COLD, 10.0) for _ in range(count))
-        return [answer.instance for answer in found if answer.instance]
+        answers = (placer.place(PLACE_REQUEST, COLD, 10.0) for _ in range(count))
+        return [answer.instance for answer in answers if answer.instance]
 
-    def test_cold_engines_get_what_they_bear_and_no_more(self) -> None:
-        named = self.place((1, 2), 100)
-        self.assertEqual((named.count("i1"), named.count("i2")), (MOST, MOST))
+    def test_cold_engines_get_requests_up_to_limit(self) -> None:
+        chosen = self.place((1, 2), 100)
+        self.assertEqual((chosen.count("i1"), chosen.count("i2")), (MAX_REQUESTS, MAX_REQUESTS))
 
-    def test_a_new_leader_names_no_cold_engine_yet(self) -> None:
-        self.assertEqual(self.place((1, 2), 5, led_for=0.1), [])
-        self.assertEqual(set(self.place((1,), 5, led_for=0.1)), {"i2"})
+    def test_new_leader_chooses_no_cold_engine(self) -> None:
+        self.assertEqual(self.place((1, 2), 5, term_age=0.1), [])
+        self.assertEqual(set(self.place((1,), 5, term_age=0.1)), {"i2"})
 
-    def test_one_that_is_not_known_to_be_cold_is_filled_up_last(self) -> None:
-        named = self.place((), 40)
-        self.assertEqual(len(named), 40)
-        self.assertEqual(set(named[: 2 * MOST]), {"i1", "i2"})
-        self.assertEqual(self.place((1,), 60).count("i1"), MOST)
+    def test_engines_not_known_to_be_cold_take_requests_beyond_limit(self) -> None:
+        chosen = self.place((), 40)
+        self.assertEqual(len(chosen), 40)
+        self.assertEqual(set(chosen[: 2 * MAX_REQUESTS]), {"i1", "i2"})
+        self.assertEqual(self.place((1,), 60).count("i1"), MAX_REQUESTS)
 
-    def test_services_without_a_bound_are_not_limited(self) -> None:
+    def test_services_without_cold_rate_are_not_limited(self) -> None:
         fleet = Fleet()
         fleet.note(Sighting(make_instance(1), 0.0, 9.0), 10.0)
         placer = Placer(fleet, LoadTotals(9.0), 1.0, Random(1))
         rule = replace(COLD, cold_rate=0.0)
-        self.assertTrue(all(placer.place(ASKED, rule, 10.0).instance for _ in range(50)))
+        self.assertTrue(all(placer.place(PLACE_REQUEST, rule, 10.0).instance for _ in range(50)))
 
 
-class GateTest(unittest.TestCase):
-    """A gateway sends to a cold upstream only what was granted."""
+class GuardTest(unittest.TestCase):
+    """A gateway sends to a cold upstream only with a grant."""
 
-    def play(self, body: Callable, prompts: bool = True) -> None:
+    def run_body(self, body: Callable, prompts: bool = True) -> None:
         async def main() -> None:
             config = make_config(Repeat.ONCE, engine=prompts)
             service = replace(config.services[0], cold_rate=RATE)
@@ -234,13 +234,13 @@
 
         anyio.run(main)
 
-    def chill(self, gateway: Gateway, *numbers: int) -> None:
+    def mark_cold(self, gateway: Gateway, *numbers: int) -> None:
         for number in numbers:
             gateway.note_backpressure(make_instance(number), Backpressure(cold=9.0))
 
-    def test_without_a_grant_nothing_is_sent(self) -> None:
+    def test_nothing_is_sent_without_grant(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            self.chill(gateway, 1)
+            self.mark_cold(gateway, 1)
             attempt = Attempt(make_job(0.0), make_instance(1), "", 1.0)
             self.assertIsInstance(await gateway.dispatcher.send(attempt), NotRun)
             now = anyio.current_time()
@@ -248,66 +248,66 @@
             self.assertIsInstance(await gateway.dispatcher.send(attempt), Whole)
             self.assertIsInstance(await gateway.dispatcher.send(attempt), NotRun)
 
-        self.play(body)
+        self.run_body(body)
 
-    def test_the_gateway_alone_chooses_no_cold_one(self) -> None:
+    def test_gateway_alone_chooses_no_cold_upstream(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            self.chill(gateway, 1, 3)
+            self.mark_cold(gateway, 1, 3)
             service = gateway.get_service("s")
             assert service is not None
-            named = {gateway.chooser.pick(service, 100, (), PROMPT) for _ in range(20)}
-            self.assertEqual({instance.id for instance in named if instance}, {"i2"})
+            chosen = {gateway.chooser.pick(service, 100, (), PROMPT) for _ in range(20)}
+            self.assertEqual({instance.id for instance in chosen if instance}, {"i2"})
 
-        self.play(body)
+        self.run_body(body)
 
     def serve(self, gateway: Gateway, answer: PlaceAnswer | None) -> Callable:
-        async def name(asked: PlaceRequest) -> PlaceAnswer | None:
+        async def answer_place(request: PlaceRequest) -> PlaceAnswer | None:
             return answer
 
-        gateway.chooser.ask_place = name
+        gateway.chooser.ask_place = answer_place
         gateway.chooser.gateways = 2
         return make_forwarder(gateway).serve
 
-    def test_what_is_granted_goes_to_a_cold_one(self) -> None:
+    def test_granted_request_is_sent_to_cold_upstream(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            self.chill(gateway, 1, 2, 3)
+            self.mark_cold(gateway, 1, 2, 3)
             serve = self.serve(gateway, PlaceAnswer("i2", True))
             now = anyio.current_time()
             self.assertIsInstance(await serve(make_job(now, prompt=PROMPT)), Whole)
             self.assertEqual(dispatcher.attempts[0].instance.id, "i2")
 
-        self.play(body)
+        self.run_body(body)
 
-    def test_what_all_cold_ones_may_not_get_is_refused_at_once_as_not_run(self) -> None:
+    def test_request_is_refused_as_not_run_when_all_are_cold_without_grant(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            self.chill(gateway, 1, 2, 3)
+            self.mark_cold(gateway, 1, 2, 3)
             serve = self.serve(gateway, None)
             answer = await serve(make_job(anyio.current_time(), prompt=PROMPT))
             assert isinstance(answer, Failure)
             self.assertEqual((answer.kind, answer.ran), (FailureKind.NO_UPSTREAM, Ran.NO))
             self.assertEqual(dispatcher.attempts, [])
 
-        self.play(body)
+        self.run_body(body)
 
-    def test_plain_services_ask_too_while_one_of_theirs_is_cold(self) -> None:
+    def test_plain_service_asks_for_grant_while_an_upstream_is_cold(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
             serve = self.serve(gateway, PlaceAnswer("i3", True))
             await serve(make_job(anyio.current_time()))
-            self.chill(gateway, 3)
+            self.mark_cold(gateway, 3)
             await serve(make_job(anyio.current_time()))
             self.assertEqual(dispatcher.attempts[1].instance.id, "i3")
 
-        self.play(body, prompts=False)
+        self.run_body(body, prompts=False)
 
-    def test_a_run_moves_to_no_cold_engine(self) -> None:
+    def test_stream_does_not_move_to_cold_engine(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            self.chill(gateway, 2)
+            self.mark_cold(gateway, 2)
             service = gateway.get_service("s")
             assert service is not None
             found = gateway.chooser.list_candidates(service, 10, {"i1"})
             self.assertEqual([candidate.instance.id for candidate in found], ["i3"])
 
-        self.play(body)
+        self.run_body(body)
 
 
 if __name__ == "__main__":
