--- a/src/daleroad/quota.py
+++ b/src/daleroad/quota.py
@@ -1,8 +1,10 @@
-"""How many requests an organisation has running, over all entries. Pure.
+"""Counts the running requests of organisations, over all entries, by slots with leases.
 
-One entry counts for each organisation, picked as a steward is. Slots are held by lease: each
-entry asserts its slots again and again, so that a lost entry's slots come free, and an entry that
-takes the counting over learns them before it gives new ones.
+One entry counts for each organisation. All entries renew the slots that they hold, so that slots
+of a failed entry expire, and an entry that begins to count for an organisation learns which slots
+are held before it gives out new ones.
+
+Does no I/O.
 """
 
 from collections.abc import Iterable
@@ -10,54 +12,54 @@
 
 from daleroad.errors import Failure, FailureKind
 
-HOLD_SECONDS = 4.0
-"""A slot that is not asserted for so long comes free."""
+SLOT_LEASE_SECONDS = 4.0
+"""A slot that is not renewed for so long expires."""
 
-QUIET_SECONDS = 2.0
-"""A new counter waits for so long to learn the slots that are held."""
+RECOVERY_SECONDS = 2.0
+"""How long an entry that begins to count waits for renewals before it gives out slots."""
 
 
 @dataclass
 class Quota:
     """The slots of the organisations that one entry counts for.
 
-    :param since: when the membership last changed.
+    :param membership_changed_at: when the set of entries last changed.
     """
 
-    since: float = float("-inf")
+    membership_changed_at: float = float("-inf")
     _slots: dict[str, dict[str, float]] = field(default_factory=dict)
 
     def note_change(self, now: float) -> None:
-        """Note a change of the membership: other organisations may be counted here now.
+        """Note a change of the entries, after which this one may count for other organisations.
 
         :param now: the time.
         """
-        self.since = now
+        self.membership_changed_at = now
 
-    def take(self, organisation: str, request: str, most: int, now: float) -> Failure | None:
-        """Take a slot, or return why not.
+    def take(self, organisation: str, request: str, max_running: int, now: float) -> Failure | None:
+        """Acquire or renew a slot, or return why there is none.
 
         :param organisation: the organisation.
-        :param request: names the slot; taking it again renews it.
-        :param most: the organisation's limit.
+        :param request: identifies the slot.
+        :param max_running: the organisation's limit.
         :param now: the time.
         """
-        if organisation not in self._slots and now < self.since + QUIET_SECONDS:
+        if organisation not in self._slots and now < self.membership_changed_at + RECOVERY_SECONDS:
             reason = "the organisation's running requests are being counted anew"
-            return Failure(FailureKind.LIMIT, reason, retry_after=QUIET_SECONDS)
+            return Failure(FailureKind.LIMIT, reason, retry_after=RECOVERY_SECONDS)
         slots = self._slots.setdefault(organisation, {})
-        self._expire(slots, now)
-        if request not in slots and len(slots) >= most:
-            reason = f"the organisation has {most} requests running"
+        self._drop_expired(slots, now)
+        if request not in slots and len(slots) >= max_running:
+            reason = f"the organisation has {max_running} requests running"
             return Failure(FailureKind.LIMIT, reason, retry_after=1.0)
         slots[request] = now
         return None
 
     def hold(self, organisation: str, requests: Iterable[str], now: float) -> None:
-        """Assert slots, also ones this entry did not give.
+        """Renew slots, also those that another entry gave out.
 
         :param organisation: the organisation.
-        :param requests: the slots.
+        :param requests: identify the slots.
         :param now: the time.
         """
         slots = self._slots.setdefault(organisation, {})
@@ -65,13 +67,13 @@
             slots[request] = now
 
     def release(self, organisation: str, request: str) -> None:
-        """Give a slot back.
+        """Release a slot.
 
         :param organisation: the organisation.
-        :param request: the slot.
+        :param request: identifies the slot.
         """
         self._slots.get(organisation, {}).pop(request, None)
 
-    def _expire(self, slots: dict[str, float], now: float) -> None:
-        for request in [r for r, at in slots.items() if at + HOLD_SECONDS <= now]:
+    def _drop_expired(self, slots: dict[str, float], now: float) -> None:
+        for request in [r for r, at in slots.items() if at + SLOT_LEASE_SECONDS <= now]:
             del slots[request]
