--- a/src/daleroad/backpressure.py
+++ b/src/daleroad/backpressure.py
@@ -1,17 +1,20 @@
-"""What an upstream says of itself in an answer: what it takes, and for how long not. Pure."""
+"""Backpressure that upstreams report in their answers, and the backoff that they ask for.
+
+Does no I/O.
+"""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True)
 class Backpressure:
-    """What the head of one answer says of the upstream that gave it.
+    """What the head of one answer reports about the upstream that sent it.
 
-    :param limit: requests a second that it takes from all gateways together; nothing where it names
-        no limit.
-    :param rest: seconds for which it wants nothing from the gateway that it answers; 0 for none.
+    :param limit: requests a second that it takes from all gateways together, or None if it
+        advertises no limit.
+    :param rest: seconds for which the gateway must not send to it, or 0.
     :param leaving: whether it is leaving.
-    :param cold: seconds for which it is still cold; nothing where it does not say.
+    :param cold: seconds for which it is still cold, or None if it does not say.
     """
 
     limit: float | None = None
@@ -22,41 +25,41 @@
 
 @dataclass
 class Rests:
-    """The upstreams that want nothing from this gateway for now.
+    """The upstreams that asked this gateway to back off, and until when.
 
-    One that turns all away has no work, so by its load it would be the best choice. Rest is kept by
-    what an upstream calls itself: one that has just started again may ask for it before its start
-    is known here, and the news of its start must not end it.
+    An upstream that rejects all requests has no load, so load balancing would prefer it. The
+    backoff is kept by the upstream's own name, not by the id of one start: a restarted upstream may
+    ask for it before the gateway hears of the restart, which must not end the backoff.
     """
 
-    _until: dict[str, float] = field(default_factory=dict)
+    _resume_times: dict[str, float] = field(default_factory=dict)
 
     def note(self, name: str, seconds: float, now: float) -> bool:
-        """Note that an upstream asked for rest; return whether it rests longer by that.
+        """Record a backoff; return whether the upstream's backoff ends later by that.
 
-        :param name: what the upstream calls itself.
-        :param seconds: for how long.
+        :param name: the upstream's own name.
+        :param seconds: length of the backoff.
         :param now: the time.
         """
         if seconds <= 0:
             return False
-        self._until = {n: until for n, until in self._until.items() if until > now}
-        if now + seconds <= self._until.get(name, now):
+        self._resume_times = {n: until for n, until in self._resume_times.items() if until > now}
+        if now + seconds <= self._resume_times.get(name, now):
             return False
-        self._until[name] = now + seconds
+        self._resume_times[name] = now + seconds
         return True
 
     def count(self, now: float) -> int:
-        """Return how many upstreams want nothing.
+        """Return how many upstreams must get nothing now.
 
         :param now: the time.
         """
-        return sum(until > now for until in self._until.values())
+        return sum(until > now for until in self._resume_times.values())
 
     def is_resting(self, name: str, now: float) -> bool:
-        """Return whether an upstream wants nothing.
+        """Return whether an upstream must get nothing now.
 
-        :param name: what the upstream calls itself.
+        :param name: the upstream's own name.
         :param now: the time.
         """
-        return now < self._until.get(name, now)
+        return now < self._resume_times.get(name, now)
--- a/src/daleroad/unreached.py
+++ b/src/daleroad/unreached.py
@@ -1,57 +1,61 @@
-"""Upstreams that could not be reached, as evidence that they have ended. Pure.
+"""Tracks failed connections to upstreams, to avoid unreachable ones before their heartbeats lapse.
 
-An upstream that ends without a word is overdue only when its next heartbeat has not come; until
-then it looks idle, and the less it has to do, the more is sent there. A connection that can't be
-made tells it at once. It may be the way that is cut, though, so what counts is from where it was
-tried.
+Between its end and its next due heartbeat, an upstream that ended without notice seems idle, and
+load balancing prefers it. A failed connection shows the end at once. Since the cause may also be a
+network partition between availability zones, failures are counted by the zone that they were seen
+from.
+
+Does no I/O.
 """
 
 from dataclasses import dataclass, field
 
 from daleroad.fleet import Fleet
 
-ZONES_SURE = 2
-"""Availability zones from which an upstream was tried in vain, after which nobody is sent there; a
-cut between two zones hides an upstream from one."""
+MIN_FAILED_ZONES = 2
+"""Availability zones with failed connections from which on an upstream gets nothing from any zone.
+A partition between two zones makes it unreachable from one only."""
 
 
 @dataclass
 class Unreached:
-    """When upstreams were tried in vain, and from which zones.
+    """When and from which availability zones connections to upstreams failed.
 
-    :param fleet: the upstreams; one that is heard later is alive.
+    :param fleet: the upstreams; a heartbeat after a failure shows that an upstream is alive.
     """
 
     fleet: Fleet
-    _tried: dict[str, dict[str, float]] = field(default_factory=dict)
+    _failure_times: dict[str, dict[str, float]] = field(default_factory=dict)
 
     def note(self, instance_id: str, zone: str, now: float) -> None:
-        """Note that an upstream could not be reached.
+        """Record a failed connection.
 
         :param instance_id: the upstream.
-        :param zone: the availability zone from which it was tried.
+        :param zone: the availability zone that the connection came from.
         :param now: the time.
         """
-        self._tried.setdefault(instance_id, {})[zone] = now
+        self._failure_times.setdefault(instance_id, {})[zone] = now
 
     def is_out_of_reach(self, instance_id: str, zone: str, now: float) -> bool:
-        """Return whether an upstream should get nothing from a zone for now.
+        """Return whether an upstream should get nothing from an availability zone for now.
+
+        Failures before the newest heartbeat don't count.
 
         :param instance_id: the upstream.
-        :param zone: the availability zone of who asks.
+        :param zone: the availability zone of the sender.
         :param now: the time.
         """
-        tried = self._tried.get(instance_id)
-        if tried is None:
+        failure_times = self._failure_times.get(instance_id)
+        if failure_times is None:
             return False
         heard_at = now - self.fleet.get_age(instance_id, now)
-        zones = {name for name, at in tried.items() if at >= heard_at}
-        if not zones:
-            del self._tried[instance_id]
-        return zone in zones or len(zones) >= ZONES_SURE
+        failed_zones = {name for name, at in failure_times.items() if at >= heard_at}
+        if not failed_zones:
+            del self._failure_times[instance_id]
+        return zone in failed_zones or len(failed_zones) >= MIN_FAILED_ZONES
 
     def prune(self) -> None:
-        """Forget upstreams that are not known any more."""
-        gone = [name for name in self._tried if self.fleet.get(name) is None]
-        for name in gone:
-            del self._tried[name]
+        """Forget upstreams that have left the fleet."""
+        unknown = [name for name in self._failure_times if self.fleet.get(name) is None]
+        for name in unknown:
+            del self._failure_times[name]
