--- a/src/daleroad/coldmodel.py
+++ b/src/daleroad/coldmodel.py
@@ -163,7 +163,7 @@
     :param cases: the cases.
     :param seed: seed of arrivals and choices.
     """
-    yield "gateways  cold  bears  load" + "".join(f"{policy:>20}" for policy in Policy)
+    yield "gateways  cold   rate  load" + "".join(f"{policy:>20}" for policy in Policy)
     for case in cases:
         results = (simulate(case, policy, seed) for policy in Policy)
         cells = "".join(f"{r.peak_ratio:>12.2f}{r.refused_share:>8.3f}" for r in results)
--- a/src/daleroad/limiting.py
+++ b/src/daleroad/limiting.py
@@ -52,7 +52,9 @@
             return None
         counter = self._find_counter(organisation.name)
         if counter is None:
-            return Failure(FailureKind.LIMIT, "no entry counts", retry_after=1.0)
+            return Failure(
+                FailureKind.LIMIT, "no serving entry can count the requests", retry_after=1.0
+            )
         slot_request = SlotRequest(organisation.name, request, organisation.most_running)
         failure: Failure | None
         if counter.name == self._env.settings.name:
