--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -1,18 +1,18 @@
-"""Tests of what makes two requests the same one."""
+"""Tests of request fingerprints."""
 
 import unittest
 from dataclasses import replace
 
-from daleroad.fingerprints import FINGERPRINT_LETTERS, find_fingerprint, make_fingerprint
+from daleroad.fingerprints import FINGERPRINT_HEX_DIGITS, find_fingerprint, make_fingerprint
 from tests.fakes import make_job
 
 PARTS = ("caller", "POST", "h.example", b"/a/b?c=1", b"body")
 
 
 class FingerprintTest(unittest.TestCase):
-    def test_each_part_counts_and_none_passes_for_another(self) -> None:
+    def test_each_part_counts_and_parts_do_not_run_together(self) -> None:
         found = make_fingerprint(*PARTS)
-        self.assertEqual(len(found), FINGERPRINT_LETTERS)
+        self.assertEqual(len(found), FINGERPRINT_HEX_DIGITS)
         others = [
             ("other", "POST", "h.example", b"/a/b?c=1", b"body"),
             ("caller", "GET", "h.example", b"/a/b?c=1", b"body"),
@@ -24,7 +24,7 @@
         ]
         self.assertEqual(len({make_fingerprint(*parts) for parts in others} | {found}), 8)
 
-    def test_the_id_of_an_attempt_and_headers_say_nothing(self) -> None:
+    def test_attempt_ids_and_headers_are_ignored(self) -> None:
         job = make_job(0.0)
         other = replace(job, id="another", headers=((b"x", b"y"),), received_at=9.0)
         self.assertEqual(find_fingerprint(job, "org"), find_fingerprint(other, "org"))
