--- a/src/daleroad/guarding.py
+++ b/src/daleroad/guarding.py
@@ -1,10 +1,10 @@
-"""The one way from a gateway to upstreams: each run passes it, whoever asked for it.
+"""Checks on every dispatch from a gateway to an upstream, and the record of its outcome.
 
-First tries, repeats, streams made anew, runs that go on from a copy or a backup: all are sent here.
-So here it is seen which requests ran where an upstream ended, and a request that is held goes no
-further, nor does anything go to an availability zone that is evacuated, to an upstream that asked
-for rest or leaves, or to one that bears only so much what was not granted, whatever the caller of
-this module has overlooked.
+First attempts, retries, re-opened streams and generations resumed from a copy or a backup all go
+through :class:`GuardedDispatcher`. It refuses requests that are held, upstreams in evacuated
+availability zones, upstreams that asked the gateway to back off or are leaving, and sends without
+a grant to rate-limited upstreams, even where a caller has not checked these itself. It also records
+which requests were running when an upstream crashed.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -38,24 +38,24 @@
 from daleroad.sendlimits import Grants
 from daleroad.suspects import Standing, Suspects, Suspicion
 
-AskGrant = Callable[[Attempt], Awaitable[bool]]
-"""Asks whether a request may go to an upstream that bears only so much."""
+GrantRequester = Callable[[Attempt], Awaitable[bool]]
+"""Requests a grant to send to a rate-limited upstream; returns whether it was given."""
 
-_NOT_GRANTED = "it bears only so much, and this was not granted"
+_NOT_GRANTED = "the upstream is rate-limited and no grant was given"
 
 
 @dataclass
 class Guard:
-    """What a gateway holds against requests, and how it learns of it.
-
-    :param suspects: the requests that are suspected.
-    :param fleet: the upstreams that are alive.
-    :param tell: called with what other processes should know.
-    :param zones: the availability zones whose upstreams get nothing.
-    :param rests: the upstreams that asked this gateway for rest.
-    :param limited: services whose upstreams bear only so much while they are cold.
-    :param grants: requests that may go to upstreams that bear only so much.
-    :param ask_grant: asks for another one.
+    """Decides whether a gateway may send a request, and records crashes and successes.
+
+    :param suspects: the requests suspected of crashing upstreams.
+    :param fleet: the known upstreams.
+    :param tell: called with reports that other processes need.
+    :param zones: the evacuated availability zones.
+    :param rests: the upstreams that asked this gateway to back off.
+    :param limited: services whose upstreams are rate-limited while they are cold.
+    :param grants: the unused grants for rate-limited upstreams.
+    :param ask_grant: requests a further grant.
     """
 
     suspects: Suspects
@@ -65,144 +65,145 @@
     rests: Rests = field(default_factory=Rests)
     limited: frozenset[str] = frozenset()
     grants: Grants = field(default_factory=Grants)
-    ask_grant: AskGrant | None = None
+    ask_grant: GrantRequester | None = None
 
     def is_resting(self, instance: Instance) -> bool:
-        """Return whether an upstream asked this gateway for rest.
+        """Return whether an upstream asked this gateway to back off.
 
         :param instance: the upstream.
         """
         return self.rests.is_resting(instance.get_name(), anyio.current_time())
 
     def is_evacuated(self, instance: Instance) -> bool:
-        """Return whether an operator wants nothing more sent to an upstream.
+        """Return whether an upstream is in an availability zone that an operator evacuated.
 
         :param instance: the upstream.
         """
         return instance.zone in self.zones.zones
 
     def is_limited(self, instance: Instance) -> bool:
-        """Return whether an upstream gets only what was granted: it is cold, or names a limit.
+        """Return whether sends to an upstream need a grant.
 
         :param instance: the upstream.
         """
-        return self.names_limit(instance) or self.is_fragile(instance)
+        return self.advertises_rate_limit(instance) or self.is_fragile(instance)
 
-    def names_limit(self, instance: Instance) -> bool:
-        """Return whether an upstream names the requests a second that it takes.
+    def advertises_rate_limit(self, instance: Instance) -> bool:
+        """Return whether an upstream states the requests per second that it accepts.
 
         :param instance: the upstream.
         """
         return self.fleet.get_rate_limit(instance.id) is not None
 
     def is_fragile(self, instance: Instance) -> bool:
-        """Return whether an upstream is cold and would end under more than it bears then.
+        """Return whether an upstream is cold and its service limits the rate to cold upstreams.
 
         :param instance: the upstream.
         """
         cold = self.fleet.is_cold(instance.id, anyio.current_time())
         return cold and instance.service in self.limited
 
-    def find_obstacle(self, attempt: Attempt) -> str:
-        """Return why a request must not be sent where it should go, or an empty text.
+    def find_refusal_reason(self, attempt: Attempt) -> str:
+        """Return why an attempt must not be sent to its upstream, or an empty string.
 
-        :param attempt: the request.
+        :param attempt: the attempt.
         """
         instance = attempt.instance
         if self.get_standing(attempt.job, attempt.organisation) is Standing.HELD:
-            return "upstreams ended while they ran it"
-        return self.find_closed(instance) or self._find_leaving(attempt)
+            return "the request is held because upstreams crashed while running it"
+        return self.find_closed(instance) or self._find_leaving_reason(attempt)
 
     def find_closed(self, instance: Instance) -> str:
-        """Return why an upstream gets nothing for now, or an empty text.
+        """Return why an upstream accepts no requests for now, or an empty string.
 
         :param instance: the upstream.
         """
         if self.is_evacuated(instance):
-            return "its availability zone is evacuated"
+            return "the upstream's availability zone is evacuated"
         if self.is_resting(instance):
-            return "it asked for rest"
+            return "the upstream asked this gateway to back off"
         return ""
 
-    def _find_leaving(self, attempt: Attempt) -> str:
-        """Return whether something new would go to an upstream that leaves, as a reason.
+    def _find_leaving_reason(self, attempt: Attempt) -> str:
+        """Return a reason if the attempt is new work for an upstream that is not ready, or "".
 
-        A generation whose memory is there already goes on there for as long as it can.
+        An attempt with a source, whose memory the upstream already holds, may still resume there.
         """
         known = self.fleet.get(attempt.instance.id)
         ready = known is None or known.state is InstanceState.READY
-        return "" if ready or attempt.source is not None else "it leaves"
+        return "" if ready or attempt.source is not None else "the upstream is leaving"
 
-    def take_grant(self, attempt: Attempt) -> bool:
-        """Return whether a request needs no grant, or has one, which is used up.
+    def consume_grant(self, attempt: Attempt) -> bool:
+        """Use up a grant if there is one; return whether there was one or none is needed.
 
-        :param attempt: the request.
+        :param attempt: the attempt.
         """
         instance = attempt.instance
         held = self.grants.take(instance.id, anyio.current_time())
         return held or not self.is_limited(instance)
 
-    async def ask_for_grant(self, attempt: Attempt) -> bool:
-        """Return whether a request that has no grant gets one.
+    async def request_grant(self, attempt: Attempt) -> bool:
+        """Request a grant for an attempt that has none; return whether it was given.
 
-        What was placed for all gateways has its grant. Others ask here: streams that go on
-        elsewhere, and whatever was on its way when the upstream named its limit.
+        An attempt placed by the process that places for all gateways has its grant already. Others
+        ask here: streams resumed on another upstream, and attempts that were under way when the
+        upstream stated its limit.
 
-        :param attempt: the request.
+        :param attempt: the attempt.
         """
         return self.ask_grant is not None and await self.ask_grant(attempt)
 
     def get_standing(self, job: Job, organisation: str) -> Standing:
-        """Return what may be done with a request.
+        """Return whether and how a request may run.
 
         :param job: the request.
         :param organisation: the organisation that sent it, or empty.
         """
         if self.suspects.is_empty():
-            # Mostly nothing is suspected, and no fingerprint is needed.
+            # Skips hashing the request in the common case.
             return Standing.CLEAR
         fingerprint = find_fingerprint(job, organisation)
         return self.suspects.get_standing(fingerprint, anyio.current_time())
 
     def note_lost(self, attempt: Attempt) -> None:
-        """Take in that an upstream lost a request which it may have begun.
+        """Record that an upstream was lost while it may have been running a request.
 
-        :param attempt: what was sent, and where.
+        :param attempt: the attempt.
         """
         instance = self.fleet.get(attempt.instance.id) or attempt.instance
         leaves = instance.state is not InstanceState.READY
         if leaves and not self.fleet.is_replaced(instance):
-            # It said that it would go.
+            # An announced shutdown is not a crash.
             return
         now = anyio.current_time()
         fingerprint = find_fingerprint(attempt.job, attempt.organisation)
         route = f"{attempt.job.host}{attempt.job.path}"
-        news = self.suspects.note_crash(
+        report = self.suspects.record_crash(
             fingerprint, attempt.organisation, route, attempt.instance.id, now
         )
-        if news is None:
+        if report is None:
             return
         standing = self.suspects.get_standing(fingerprint, now)
         if standing is not Standing.CLEAR:
             log_suspicion(self.suspects.get(fingerprint, now), standing)
-        self.tell(news)
+        self.tell(report)
 
-    def note_whole(self, attempt: Attempt) -> None:
-        """Take in that a request had a whole answer.
+    def record_success(self, attempt: Attempt) -> None:
+        """Record that a request had a complete response.
 
-        :param attempt: what was sent, and where.
+        :param attempt: the attempt.
         """
         fingerprint = find_fingerprint(attempt.job, attempt.organisation)
-        news = self.suspects.note_whole(fingerprint, anyio.current_time())
-        if news is not None:
-            self.tell(news)
+        report = self.suspects.record_success(fingerprint, anyio.current_time())
+        if report is not None:
+            self.tell(report)
 
 
 def log_suspicion(known: Suspicion | None, standing: Standing) -> None:
-    """Log what is held against a request.
+    """Log the crashes recorded for a request.
 
-    :param known: what is known of it.
-    :param standing: what may be done with it.
+    :param known: what is known of it; None logs nothing.
+    :param standing: its standing.
     """
     if known is None:
         return
@@ -217,12 +218,12 @@
     )
 
 
-class _GuardedStream:
-    """A stream whose end is noted.
+class _RecordedStream:
+    """A stream whose outcome is recorded.
 
     :param stream: the stream.
-    :param attempt: what was sent, and where.
-    :param guard: notes how it ended.
+    :param attempt: the attempt that opened it.
+    :param guard: records the outcome.
     """
 
     def __init__(self, stream: Stream, attempt: Attempt, guard: Guard) -> None:
@@ -233,7 +234,7 @@
         self._guard = guard
 
     async def pieces(self) -> AsyncIterator[Piece | Lost]:
-        """Yield whole events; a cut stream ends with :class:`Lost`, a complete one without."""
+        """Yield whole events; only a stream that was cut ends with :class:`Lost`."""
         begun = False
         async for piece in self._stream.pieces():
             if isinstance(piece, Lost):
@@ -242,9 +243,10 @@
                 return
             begun = True
             yield piece
-        # A stream that ends with its connection ends like that too where its upstream does.
+        # A stream delimited by the end of its connection also ends this way when its upstream
+        # crashes, so an empty one is no proof of success.
         if begun:
-            self._guard.note_whole(self._attempt)
+            self._guard.record_success(self._attempt)
 
     async def close(self) -> None:
         """Close the connection if the stream is not over."""
@@ -252,10 +254,10 @@
 
 
 class GuardedDispatcher:
-    """A dispatcher that sends nothing that is held, and notes what upstreams end under.
+    """A dispatcher that sends only what the guard allows, and records the outcomes.
 
     :param inner: carries requests to upstreams.
-    :param guard: decides and notes.
+    :param guard: decides and records.
     """
 
     def __init__(self, inner: Dispatcher, guard: Guard) -> None:
@@ -263,14 +265,14 @@
         self._guard = guard
 
     async def send(self, attempt: Attempt) -> Reply:
-        """Send a request and return its answer, or the stream that it began."""
-        obstacle = self._guard.find_obstacle(attempt)
-        if not obstacle and not self._guard.take_grant(attempt):
-            granted = await self._guard.ask_for_grant(attempt)
-            # An order may have come while the grant was asked for.
-            obstacle = self._guard.find_obstacle(attempt) if granted else _NOT_GRANTED
-        if obstacle:
-            return NotRun(obstacle, sent=False, held=True)
+        """Send a request; return its response, the stream that it opened, or why it failed."""
+        reason = self._guard.find_refusal_reason(attempt)
+        if not reason and not self._guard.consume_grant(attempt):
+            granted = await self._guard.request_grant(attempt)
+            # The answer may have changed while the grant was awaited.
+            reason = self._guard.find_refusal_reason(attempt) if granted else _NOT_GRANTED
+        if reason:
+            return NotRun(reason, sent=False, held=True)
         if attempt.backup is not None and self._guard.find_closed(attempt.backup):
             attempt = replace(attempt, backup=None)
         reply = await self._inner.send(attempt)
@@ -281,22 +283,22 @@
                 self._guard.note_lost(attempt)
             case Whole():
                 if not reply.is_failed():
-                    self._guard.note_whole(attempt)
+                    self._guard.record_success(attempt)
             case _:
-                return _GuardedStream(reply, attempt, self._guard)
+                return _RecordedStream(reply, attempt, self._guard)
         return reply
 
     async def copy(
         self, job: Job, source: Instance, destination: Instance, final: bool
     ) -> Copied | NotCopied:
-        """Copy a running generation's memory; a final copy stops it first."""
+        """Copy a running generation's memory; a final copy stops the generation first."""
         closed = self._guard.find_closed(destination)
         if closed:
-            return NotCopied(f"the destination: {closed}", CopyFault.NO_ROOM)
+            return NotCopied(f"cannot copy to the destination: {closed}", CopyFault.NO_ROOM)
         return await self._inner.copy(job, source, destination, final)
 
     async def report(self, instance: Instance) -> EngineReport | Failure:
-        """Ask an engine for its report; each one is paid for."""
+        """Ask an engine for its report; each one has a cost."""
         return await self._inner.report(instance)
 
     def forget(self, instance: Instance) -> None:
--- a/src/daleroad/holding.py
+++ b/src/daleroad/holding.py
@@ -1,8 +1,8 @@
-"""Requests that an entry holds back, since upstreams ended while they ran them.
+"""Holding of suspected poison requests at the entries.
 
-The rule is the gateways' (suspects). Entries tell each other what they saw at once; one that was
-not reached learns of it with the next end. Calls that an upstream makes while it runs a request
-come in as requests of their own, and so pass here too.
+The rule is that of the gateways, :mod:`daleroad.suspects`. Entries report crashes to each other at
+once; an entry that can't be reached misses that report. Calls that an upstream makes while it runs
+a request arrive as requests of their own, so they are checked here too.
 """
 
 from http import HTTPStatus
@@ -21,7 +21,7 @@
 
 
 class Holding:
-    """What one entry holds against requests.
+    """Records crashes and successes at one entry, and refuses requests that are held.
 
     :param env: the entry's environment.
     """
@@ -30,7 +30,7 @@
         self._env = env
 
     def find_refusal(self, fingerprint: str) -> Failure | None:
-        """Return why a request reaches no upstream, if it does not.
+        """Return a failure if a request is held, or None if it may run.
 
         :param fingerprint: the request.
         """
@@ -39,69 +39,69 @@
         if suspects.get_standing(fingerprint, now) is not Standing.HELD:
             return None
         left = suspects.get_held_left(fingerprint, now)
-        reason = "upstreams ended while they ran this request"
+        reason = "upstreams crashed while running this request"
         return Failure(FailureKind.HELD, reason, Ran.NO, round(left))
 
     def note_lost(
         self, fingerprint: str, organisation: Organisation, route: Route, upstream: str
     ) -> None:
-        """Take in that an upstream lost a request which it may have begun.
+        """Record that an upstream was lost while it may have been running a request.
 
         :param fingerprint: the request.
-        :param organisation: who sent it.
+        :param organisation: the organisation that sent it.
         :param route: the route that it took.
-        :param upstream: the upstream's name, of one start.
+        :param upstream: the upstream's name, which differs for each start of it.
         """
         known = self._env.catalog.upstreams.get(upstream)
         if known is not None and known.state is not State.SERVING:
-            # It said that it would go.
+            # An announced shutdown is not a crash.
             return
         now = anyio.current_time()
-        news = self._env.suspects.note_crash(
+        report = self._env.suspects.record_crash(
             fingerprint, organisation.name, route.name, upstream, now
         )
-        if news is None:
+        if report is None:
             return
         standing = self._env.suspects.get_standing(fingerprint, now)
         if standing is not Standing.CLEAR:
             log_suspicion(self._env.suspects.get(fingerprint, now), standing)
-        self._env.spawn(self._tell, [news])
-        self._env.spawn(self._check_there, upstream)
+        self._env.spawn(self._broadcast, [report])
+        self._env.spawn(self._check_alive, upstream)
 
     def note_whole(self, fingerprint: str) -> None:
-        """Take in that a request had a whole answer.
+        """Record that a request had a complete response.
 
         :param fingerprint: the request.
         """
-        news = self._env.suspects.note_whole(fingerprint, anyio.current_time())
-        if news is not None:
-            self._env.spawn(self._tell, [news])
+        report = self._env.suspects.record_success(fingerprint, anyio.current_time())
+        if report is not None:
+            self._env.spawn(self._broadcast, [report])
 
     def take(self, told: Suspicions) -> None:
-        """Take in what another entry saw.
+        """Merge the reports of another entry.
 
-        :param told: what it saw.
+        :param told: the reports.
         """
         now = anyio.current_time()
-        for suspicion in told.suspicions:
-            self._env.suspects.merge(suspicion, now)
-            refuted = self._env.suspects.refute(suspicion.fingerprint, now)
-            if refuted is not None:
-                self._env.spawn(self._tell, [refuted])
+        for report in told.suspicions:
+            self._env.suspects.merge(report, now)
+            cancelled = self._env.suspects.refute(report.fingerprint, now)
+            if cancelled is not None:
+                self._env.spawn(self._broadcast, [cancelled])
         self._env.suspects.prune(now)
 
-    async def _check_there(self, upstream: str) -> None:
-        """Take the end of an upstream back that is still a member when it should be gone."""
+    async def _check_alive(self, upstream: str) -> None:
+        """Retract the crash of an upstream that is still a member after its lease has run out."""
         await anyio.sleep(self._env.settings.upstream_lease + STILL_THERE_SECONDS)
         if upstream not in self._env.catalog.upstreams:
             return
-        news = self._env.suspects.note_alive(upstream, anyio.current_time())
-        if news:
-            await self._tell(news)
+        reports = self._env.suspects.record_alive(upstream, anyio.current_time())
+        if reports:
+            await self._broadcast(reports)
 
-    async def _tell(self, suspicions: list[Suspicion]) -> None:
+    async def _broadcast(self, reports: list[Suspicion]) -> None:
         env = self._env
-        body = encode(Suspicions(tuple(suspicions)))
+        body = encode(Suspicions(tuple(reports)))
         async with anyio.create_task_group() as tasks:
             for entry in list(env.catalog.entries.values()):
                 if entry.name != env.settings.name:
@@ -110,18 +110,18 @@
 
 
 def find_call_fingerprint(organisation: Organisation, route: Route, path: str, body: bytes) -> str:
-    """Return what an entry knows a request by.
+    """Return the fingerprint of a request to an entry.
 
-    :param organisation: who sent it.
+    :param organisation: the organisation that sent it.
     :param route: the route that it takes.
-    :param path: the path behind the route, with the query; empty for a generation.
-    :param body: its body, or what stands for it.
+    :param path: method, path below the route and query; empty for a generation.
+    :param body: its body, or a digest of it.
     """
     return make_fingerprint(organisation.name, "", route.name, path.encode(), body)
 
 
 def is_whole(status: int) -> bool:
-    """Return whether an answer's status shows that its upstream bore the request.
+    """Return whether a response's status shows that its upstream survived the request.
 
     :param status: the status.
     """
--- a/src/daleroad/sharedsuspects.py
+++ b/src/daleroad/sharedsuspects.py
@@ -1,6 +1,7 @@
-"""The suspected requests of a whole site, as one coordinator knows them.
+"""A coordinator's view of the suspected requests of the whole site.
 
-Coordinators hear the upstreams themselves, so they also take back ends of instances that live.
+Coordinators receive the upstreams' heartbeats, so they also retract crashes of instances that turn
+out to be alive.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,18 +16,18 @@
 from daleroad.suspects import Standing, Suspects, Suspicion, Trials
 
 ALIVE_AFTER_SECONDS = 1.0
-"""An instance that is heard so long after a cut has not ended. A heartbeat sent before an end is
-mostly here within a tenth of that; one that is later costs one end that does not count."""
+"""A heartbeat that arrives so long after a cut proves that the instance did not crash. One sent
+before a crash mostly arrives within a tenth of this; a later one wrongly retracts one crash."""
 
-DOUBTED_SECONDS = 10.0
-"""How long after a cut an instance that is silent may still turn out to live: many heartbeats."""
+UNCONFIRMED_SECONDS = 10.0
+"""How long after a cut an instance is checked for heartbeats; many heartbeat intervals."""
 
 
 class SharedSuspects:
-    """What is held against requests, with the means to take it back.
+    """The suspected requests, with the checks that retract crashes.
 
-    :param fleet: the upstreams, as they are heard here.
-    :param wake: called when there is news for those who watch.
+    :param fleet: the upstreams that this coordinator hears from.
+    :param wake: called when watching gateways have changes to fetch.
     """
 
     def __init__(self, fleet: Fleet, wake: Callable[[], None]) -> None:
@@ -34,77 +35,80 @@
         self._fleet = fleet
         self._wake = wake
         self._trials = Trials()
-        self._doubted: dict[str, float] = {}
-        self._turned_at = float("inf")
+        self._unconfirmed: dict[str, float] = {}
+        self._last_turn_at = float("inf")
         self._stalled_at = float("-inf")
 
     def note(self, suspicions: Iterable[Suspicion], now: float) -> None:
-        """Take in what others hold against requests.
+        """Merge reports from other processes.
 
-        :param suspicions: what they hold.
+        :param suspicions: the reports.
         :param now: the time.
         """
         before = self.suspects.marked_revision
-        for told in suspicions:
-            if self.suspects.merge(told, now):
-                self._doubted.update(dict.fromkeys(told.crashes, now - told.age))
-        # One end makes a suspect of all that ran there; most matter to nobody.
+        for report in suspicions:
+            if self.suspects.merge(report, now):
+                self._unconfirmed.update(dict.fromkeys(report.crashes, now - report.age))
+        # A single crash adds every request that ran there; only flagged ones concern the gateways.
         if self.suspects.marked_revision != before:
             self._wake()
 
     def turn(self, now: float) -> None:
-        """Forget what is old, and take back ends of instances that live; called each turn.
+        """Prune old suspects and retract crashes of live instances; called each control-loop turn.
 
         :param now: the time.
         """
         self.suspects.prune(now)
-        if now - self._turned_at > LOOP_STALL_SECONDS:
+        if now - self._last_turn_at > LOOP_STALL_SECONDS:
             self._stalled_at = now
-        self._turned_at = now
-        for instance, ended_at in list(self._doubted.items()):
-            if self._is_alive(instance, ended_at, now):
-                del self._doubted[instance]
-                if self.suspects.note_alive(instance, now):
+        self._last_turn_at = now
+        for instance, cut_at in list(self._unconfirmed.items()):
+            if self._is_alive(instance, cut_at, now):
+                del self._unconfirmed[instance]
+                if self.suspects.record_alive(instance, now):
                     self._wake()
-            elif now - ended_at > DOUBTED_SECONDS:
-                del self._doubted[instance]
+            elif now - cut_at > UNCONFIRMED_SECONDS:
+                del self._unconfirmed[instance]
 
-    def _is_alive(self, instance: str, ended_at: float, now: float) -> bool:
-        """Return whether an instance was heard from well after its end was told.
+    def _is_alive(self, instance: str, cut_at: float, now: float) -> bool:
+        """Return whether an instance was heard from well after its reported crash.
 
-        A cut, a reset and a lost answer look like an end to who waits for the answer. After a
-        stall, heartbeats that waited for this process pass for new ones.
+        To the sender of a request, a cut, a reset and a lost response all look like a crash. After
+        a stall of this process, only heartbeats well after it count, since those that were queued
+        meanwhile look new.
         """
         heard_at = now - self._fleet.get_age(instance, now)
-        return heard_at >= max(ended_at, self._stalled_at) + ALIVE_AFTER_SECONDS
+        return heard_at >= max(cut_at, self._stalled_at) + ALIVE_AFTER_SECONDS
 
     def list_all(self) -> SuspectsAnswer:
-        """Return the requests that are suspected, as operators see them."""
+        """Return all suspected requests, and which of them are held."""
         now = anyio.current_time()
         known = self.suspects.list_changed(now)
-        standings = ((t.fingerprint, self.suspects.get_standing(t.fingerprint, now)) for t in known)
-        held = tuple(name for name, standing in standings if standing is Standing.HELD)
+        standings = ((r.fingerprint, self.suspects.get_standing(r.fingerprint, now)) for r in known)
+        held = tuple(f for f, standing in standings if standing is Standing.HELD)
         return SuspectsAnswer(known, held)
 
     def release(self, fingerprint: str) -> Failure | None:
-        """Take back what is held against a request; return why that can't be done, if so.
+        """Retract all crashes of a request; return a failure if there are none.
 
         :param fingerprint: the request.
         """
         released = self.suspects.release(fingerprint, anyio.current_time())
         if released is None:
-            return Failure(FailureKind.NOT_FOUND, f"nothing is held against {fingerprint}")
+            return Failure(
+                FailureKind.NOT_FOUND, f"no crashes are recorded for request {fingerprint}"
+            )
         ended = list(released.cleared)
         log_event(Event.REQUEST_RELEASED, fingerprint=fingerprint, ended=ended)
         self._wake()
         return None
 
     def give_trial(self, fingerprint: str) -> bool:
-        """Return whether who asks, and nobody else for a while, may try a request now.
+        """Give the caller the trial of a request; return whether it was free and the hold is over.
 
         :param fingerprint: the request.
         """
         now = anyio.current_time()
         if self.suspects.get_standing(fingerprint, now) is Standing.HELD:
             return False
-        return self._trials.take(fingerprint, now)
+        return self._trials.claim(fingerprint, now)
--- a/src/daleroad/suspectmodel.py
+++ b/src/daleroad/suspectmodel.py
@@ -1,8 +1,9 @@
-"""How often an innocent request is held back, by the rule in use and others, in virtual time. Pure.
+"""Simulation that compares rules for holding back poison requests, in virtual time. No I/O.
 
-Engines end for reasons of their own: one at a time, several at once, or in turn. What ran there is
-cut, and callers send it again. Some callers ask for the same thing to the letter all the time. Now
-and then there is a request that ends each engine which begins it.
+Engines crash for reasons of their own: one at a time, several at once, or one after another. The
+requests that were running there are cut, and callers retry them. Some requests are identical to
+others and come all the time. In some cases there are also poison requests, which crash each engine
+that runs them. The figure of merit is how often a rule holds back an innocent request.
 """
 
 import heapq
@@ -18,77 +19,77 @@
 from daleroad.suspects import CRASHES_HELD, Standing, Suspects
 
 ENGINES = 7
-DOWN_SECONDS = 3.0
-"""Time from an engine's end until another one takes its place."""
+RESTART_SECONDS = 3.0
+"""Time from the crash of an engine until its replacement takes requests."""
 
-REQUESTS_A_SECOND = 12.0
-MEAN_SECONDS = 1.5
-"""Requests that come, and how long one runs in the mean."""
+REQUESTS_PER_SECOND = 12.0
+MEAN_RUN_SECONDS = 1.5
+"""Arrival rate of requests, and their mean run time."""
 
 POPULAR_SHARE = 0.3
-POPULAR = 10
-"""Part of the requests that are the same as others to the letter, and how many such there are."""
+POPULAR_REQUESTS = 10
+"""Share of arrivals that are one of a few identical requests, and the number of these."""
 
-AGAIN_SECONDS = 0.3
+RETRY_SECONDS = 0.3
 RETRIES = 3
-"""How soon a request that was cut comes again, and how often."""
+"""Mean delay before a cut request is retried, and how many times it is."""
 
-CRASHER_SECONDS = 0.08
-"""How long a request runs until its engine ends under it."""
+POISON_RUN_SECONDS = 0.08
+"""How long a poison request runs before it crashes its engine."""
 
-CRASHER_AGAIN_SECONDS = 0.6
-CRASHER_TIMES = 30
-"""How soon it comes again, and how often."""
+POISON_RETRY_SECONDS = 0.6
+POISON_RETRIES = 30
+"""Mean delay before a poison request is retried, and how many times it is."""
 
-_CRASHER = "crasher"
+_POISON = "poison"
 
 
-class _What(StrEnum):
-    """What happens next in a play."""
+class _EventKind(StrEnum):
+    """What happens next in a simulation."""
 
-    ARRIVE = "a request comes"
-    FINISH = "a run is over"
-    END = "an engine ends"
-    HERD = "some engines end at once"
+    ARRIVE = "request arrives"
+    FINISH = "run finishes"
+    CRASH = "engine crashes"
+    GROUP_CRASH = "several engines crash"
 
 
 class Rule(Protocol):
-    """Decides which requests are held back."""
+    """A rule that decides which requests are held back."""
 
-    def note_crash(self, request: str, engine: str, now: float) -> None:
-        """Note that an engine ended while it ran a request."""
+    def record_crash(self, request: str, engine: str, now: float) -> None:
+        """Record that an engine crashed while it ran a request."""
 
-    def note_whole(self, request: str, now: float) -> None:
-        """Note that a request had a whole answer."""
+    def record_success(self, request: str, now: float) -> None:
+        """Record that a request had a complete response."""
 
     def is_held(self, request: str, now: float) -> bool:
         """Return whether a request is held back."""
 
 
-class PlainCount:
-    """Holds a request after so many ends, whatever came between.
+class CrashThreshold:
+    """Holds a request after a number of crashes, whatever else happened.
 
-    :param most: the ends.
+    :param crashes: the number of crashes.
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._ends: Counter[str] = Counter()
+    def __init__(self, crashes: int) -> None:
+        self._threshold = crashes
+        self._crashes: Counter[str] = Counter()
 
-    def note_crash(self, request: str, engine: str, now: float) -> None:
-        """Note that an engine ended while it ran a request."""
-        self._ends[request] += 1
+    def record_crash(self, request: str, engine: str, now: float) -> None:
+        """Record that an engine crashed while it ran a request."""
+        self._crashes[request] += 1
 
-    def note_whole(self, request: str, now: float) -> None:
-        """Note nothing: a whole answer does not count."""
+    def record_success(self, request: str, now: float) -> None:
+        """Ignore complete responses."""
 
     def is_held(self, request: str, now: float) -> bool:
         """Return whether a request is held back."""
-        return self._ends[request] >= self._most
+        return self._crashes[request] >= self._threshold
 
 
 class SequentialTest:
-    """Wald's test of each request: it ends nine engines of ten, or one of a hundred."""
+    """Wald's sequential test of whether a request crashes 90 % or 1 % of engines that run it."""
 
     _DETECTOR = Sequential(good=0.01, bad=0.9, false_alarm=1e-5, missed=1e-2)
 
@@ -96,13 +97,13 @@
         self._evidence: dict[str, Evidence] = {}
         self._held: set[str] = set()
 
-    def note_crash(self, request: str, engine: str, now: float) -> None:
-        """Note that an engine ended while it ran a request."""
+    def record_crash(self, request: str, engine: str, now: float) -> None:
+        """Record that an engine crashed while it ran a request."""
         if self._evidence.setdefault(request, Evidence(self._DETECTOR)).note(False):
             self._held.add(request)
 
-    def note_whole(self, request: str, now: float) -> None:
-        """Note that a request had a whole answer."""
+    def record_success(self, request: str, now: float) -> None:
+        """Record that a request had a complete response."""
         if request in self._evidence:
             self._evidence[request].note(True)
 
@@ -111,19 +112,19 @@
         return request in self._held
 
 
-class Suspicions:
-    """The rule in use."""
+class CurrentRule:
+    """The rule that gateways and entries use, :class:`Suspects`."""
 
     def __init__(self) -> None:
         self._suspects = Suspects()
 
-    def note_crash(self, request: str, engine: str, now: float) -> None:
-        """Note that an engine ended while it ran a request."""
-        self._suspects.note_crash(request, "caller", "route", engine, now)
+    def record_crash(self, request: str, engine: str, now: float) -> None:
+        """Record that an engine crashed while it ran a request."""
+        self._suspects.record_crash(request, "caller", "route", engine, now)
 
-    def note_whole(self, request: str, now: float) -> None:
-        """Note that a request had a whole answer."""
-        self._suspects.note_whole(request, now)
+    def record_success(self, request: str, now: float) -> None:
+        """Record that a request had a complete response."""
+        self._suspects.record_success(request, now)
 
     def is_held(self, request: str, now: float) -> bool:
         """Return whether a request is held back."""
@@ -132,62 +133,65 @@
 
 @dataclass(frozen=True)
 class CrashCase:
-    """What engines end of.
-
-    :param each: seconds between ends of single engines, 0 for none.
-    :param herd: engines that end at once.
-    :param herd_each: seconds between such ends, 0 for none.
-    :param crasher_each: seconds between requests that end engines, 0 for none.
-    :param seconds: length of a play.
+    """The causes of crashes in a simulation. Intervals are mean seconds; 0 turns a cause off.
+
+    :param name: the label in the table; it also seeds the random generator.
+    :param interval: interval between crashes of single engines.
+    :param group: number of engines that crash at once.
+    :param group_interval: interval between such crashes.
+    :param poison_interval: interval between poison requests.
+    :param seconds: length of the simulation.
     """
 
     name: str
-    each: float = 0.0
-    herd: int = 0
-    herd_each: float = 0.0
-    crasher_each: float = 0.0
+    interval: float = 0.0
+    group: int = 0
+    group_interval: float = 0.0
+    poison_interval: float = 0.0
     seconds: float = 300.0
 
 
 CASES = (
-    CrashCase("single ends", each=5.0),
-    CrashCase("many single ends", each=1.0),
-    CrashCase("ends of four at once", herd=4, herd_each=20.0),
-    CrashCase("all replaced in turn without a word", each=2.0, herd=2, herd_each=30.0),
-    CrashCase("a crashing request", crasher_each=60.0),
-    CrashCase("a crashing request beside single ends", each=5.0, crasher_each=60.0),
+    CrashCase("single ends", interval=5.0),
+    CrashCase("many single ends", interval=1.0),
+    CrashCase("ends of four at once", group=4, group_interval=20.0),
+    CrashCase("all replaced in turn without a word", interval=2.0, group=2, group_interval=30.0),
+    CrashCase("a crashing request", poison_interval=60.0),
+    CrashCase("a crashing request beside single ends", interval=5.0, poison_interval=60.0),
 )
 
 
 @dataclass
-class HeldCount:
-    """What a rule did in plays of one case.
+class RuleOutcome:
+    """The counts of a rule in simulations of one case.
 
-    :param innocent: requests that end no engine, and how many of them were held back.
-    :param crashers: requests that end engines, and the engines that ended under them.
+    :param innocent: arrivals of requests that crash no engine.
+    :param held: those of them that were held back.
+    :param poison: poison requests, not counting retries.
+    :param crashed_engines: engines that poison requests crashed.
     """
 
     innocent: int = 0
     held: int = 0
-    crashers: int = 0
-    ended: int = 0
+    poison: int = 0
+    crashed_engines: int = 0
 
 
 @dataclass(frozen=True)
-class _Asked:
-    request: str
-    again: int
+class _Request:
+    name: str
+    retries: int
 
 
 @dataclass
 class _Engine:
     name: str
     up_at: float = 0.0
-    runs: dict[int, _Asked] = field(default_factory=dict)
+    running: dict[int, _Request] = field(default_factory=dict)
 
 
-class _Play:
-    """One play of a case under a rule."""
+class _Simulation:
+    """One simulation of a case under a rule."""
 
     def __init__(self, case: CrashCase, rule: Rule, seed: int) -> None:
         self._case = case
@@ -195,134 +199,136 @@
         self._random = Random(f"{case.name} {seed}")
         self._numbers = count()
         self._engines = [_Engine(f"e{next(self._numbers)}") for _ in range(ENGINES)]
-        self._heap: list[tuple[float, int, _What, _Asked | None, _Engine | None]] = []
-        self.found = HeldCount()
+        self._heap: list[tuple[float, int, _EventKind, _Request | None, _Engine | None]] = []
+        self.outcome = RuleOutcome()
 
-    def run(self) -> HeldCount:
-        """Play the case and return what the rule did."""
-        for at, what, asked in self._plan():
-            self._push(at, what, asked)
+    def run(self) -> RuleOutcome:
+        """Run the simulation and return the rule's counts."""
+        for at, event, request in self._generate_events():
+            self._push(at, event, request)
         while self._heap:
-            now, number, what, asked, engine = heapq.heappop(self._heap)
-            match what:
-                case _What.ARRIVE if asked is not None:
-                    self._arrive(asked, now)
-                case _What.FINISH if engine is not None:
+            now, number, event, request, engine = heapq.heappop(self._heap)
+            match event:
+                case _EventKind.ARRIVE if request is not None:
+                    self._arrive(request, now)
+                case _EventKind.FINISH if engine is not None:
                     self._finish(engine, number, now)
-                case _What.END:
-                    self._crash_some(1, now)
-                case _What.HERD:
-                    self._crash_some(self._case.herd, now)
-        return self.found
+                case _EventKind.CRASH:
+                    self._crash_random(1, now)
+                case _EventKind.GROUP_CRASH:
+                    self._crash_random(self._case.group, now)
+        return self.outcome
 
-    def _plan(self) -> Iterator[tuple[float, _What, _Asked | None]]:
+    def _generate_events(self) -> Iterator[tuple[float, _EventKind, _Request | None]]:
         case, random = self._case, self._random
-        for at in self._draw(1 / REQUESTS_A_SECOND):
-            yield at, _What.ARRIVE, _Asked(self._draw_request(), RETRIES)
-        if case.each:
-            yield from ((at, _What.END, None) for at in self._draw(case.each))
-        if case.herd_each:
-            yield from ((at, _What.HERD, None) for at in self._draw(case.herd_each))
-        if case.crasher_each:
-            for number, at in enumerate(self._draw(case.crasher_each)):
-                self.found.crashers += 1
+        for at in self._draw_times(1 / REQUESTS_PER_SECOND):
+            yield at, _EventKind.ARRIVE, _Request(self._pick_request_name(), RETRIES)
+        if case.interval:
+            yield from ((at, _EventKind.CRASH, None) for at in self._draw_times(case.interval))
+        if case.group_interval:
+            yield from (
+                (at, _EventKind.GROUP_CRASH, None) for at in self._draw_times(case.group_interval)
+            )
+        if case.poison_interval:
+            for number, at in enumerate(self._draw_times(case.poison_interval)):
+                self.outcome.poison += 1
                 yield (
                     at + random.random(),
-                    _What.ARRIVE,
-                    _Asked(f"{_CRASHER} {number}", CRASHER_TIMES),
+                    _EventKind.ARRIVE,
+                    _Request(f"{_POISON} {number}", POISON_RETRIES),
                 )
 
-    def _draw(self, gap: float) -> Iterator[float]:
-        at = self._random.expovariate(1 / gap)
+    def _draw_times(self, mean_interval: float) -> Iterator[float]:
+        at = self._random.expovariate(1 / mean_interval)
         while at < self._case.seconds:
             yield at
-            at += self._random.expovariate(1 / gap)
+            at += self._random.expovariate(1 / mean_interval)
 
-    def _draw_request(self) -> str:
+    def _pick_request_name(self) -> str:
         if self._random.random() < POPULAR_SHARE:
-            return f"popular {self._random.randrange(POPULAR)}"
+            return f"popular {self._random.randrange(POPULAR_REQUESTS)}"
         return f"request {next(self._numbers)}"
 
     def _push(
-        self, at: float, what: _What, asked: _Asked | None, engine: _Engine | None = None
+        self, at: float, event: _EventKind, request: _Request | None, engine: _Engine | None = None
     ) -> int:
         number = next(self._numbers)
-        heapq.heappush(self._heap, (at, number, what, asked, engine))
+        heapq.heappush(self._heap, (at, number, event, request, engine))
         return number
 
-    def _arrive(self, asked: _Asked, now: float) -> None:
-        crasher = asked.request.startswith(_CRASHER)
-        self.found.innocent += not crasher
-        if self._rule.is_held(asked.request, now):
-            self.found.held += not crasher
+    def _arrive(self, request: _Request, now: float) -> None:
+        poison = request.name.startswith(_POISON)
+        self.outcome.innocent += not poison
+        if self._rule.is_held(request.name, now):
+            self.outcome.held += not poison
             return
         alive = [engine for engine in self._engines if engine.up_at <= now]
         if not alive:
             return
         engine = self._random.choice(alive)
-        seconds = CRASHER_SECONDS if crasher else self._random.expovariate(1 / MEAN_SECONDS)
-        engine.runs[self._push(now + seconds, _What.FINISH, asked, engine)] = asked
+        seconds = POISON_RUN_SECONDS if poison else self._random.expovariate(1 / MEAN_RUN_SECONDS)
+        engine.running[self._push(now + seconds, _EventKind.FINISH, request, engine)] = request
 
     def _finish(self, engine: _Engine, number: int, now: float) -> None:
-        asked = engine.runs.get(number)
-        if asked is None:
+        request = engine.running.get(number)
+        if request is None:
             return
-        if asked.request.startswith(_CRASHER):
-            self.found.ended += 1
+        if request.name.startswith(_POISON):
+            self.outcome.crashed_engines += 1
             self._crash(engine, now)
             return
-        del engine.runs[number]
-        self._rule.note_whole(asked.request, now)
+        del engine.running[number]
+        self._rule.record_success(request.name, now)
 
-    def _crash_some(self, most: int, now: float) -> None:
+    def _crash_random(self, number: int, now: float) -> None:
         alive = [engine for engine in self._engines if engine.up_at <= now]
-        for engine in self._random.sample(alive, min(most, len(alive))):
+        for engine in self._random.sample(alive, min(number, len(alive))):
             self._crash(engine, now)
 
     def _crash(self, engine: _Engine, now: float) -> None:
-        cut, engine.runs = engine.runs, {}
-        for asked in cut.values():
-            self._rule.note_crash(asked.request, engine.name, now)
-            if asked.again:
-                crasher = asked.request.startswith(_CRASHER)
-                pause = CRASHER_AGAIN_SECONDS if crasher else AGAIN_SECONDS
-                at = now + pause * self._random.uniform(0.5, 1.5)
-                self._push(at, _What.ARRIVE, _Asked(asked.request, asked.again - 1))
+        cut, engine.running = engine.running, {}
+        for request in cut.values():
+            self._rule.record_crash(request.name, engine.name, now)
+            if request.retries:
+                poison = request.name.startswith(_POISON)
+                delay = POISON_RETRY_SECONDS if poison else RETRY_SECONDS
+                at = now + delay * self._random.uniform(0.5, 1.5)
+                self._push(at, _EventKind.ARRIVE, _Request(request.name, request.retries - 1))
         engine.name = f"e{next(self._numbers)}"
-        engine.up_at = now + DOWN_SECONDS
+        engine.up_at = now + RESTART_SECONDS
 
 
 def make_rules() -> dict[str, Rule]:
-    """Return new rules by their names."""
+    """Return a new instance of each rule by its name."""
     return {
-        "plain count of 2": PlainCount(2),
-        "plain count of 3": PlainCount(3),
+        "plain count of 2": CrashThreshold(2),
+        "plain count of 3": CrashThreshold(3),
         "sequential test": SequentialTest(),
-        f"in use ({CRASHES_HELD}, taken back)": Suspicions(),
+        f"in use ({CRASHES_HELD}, retracted)": CurrentRule(),
     }
 
 
-def play(case: CrashCase, rule: Rule, seed: int) -> HeldCount:
-    """Return what a rule did in one play of a case.
+def simulate(case: CrashCase, rule: Rule, seed: int) -> RuleOutcome:
+    """Return the counts of a rule in one simulation of a case.
 
     :param case: the case.
-    :param rule: the rule, new.
-    :param seed: fixes what happens.
+    :param rule: a new instance of the rule.
+    :param seed: seeds the random generator, with the case's name.
     """
-    return _Play(case, rule, seed).run()
+    return _Simulation(case, rule, seed).run()
 
 
 def compare_rules(cases: Iterable[CrashCase], seeds: int) -> Iterator[str]:
-    """Yield a table: of a million innocent requests those held; engines lost to a crashing one.
+    """Yield a table: innocent requests held, also per million; engines lost per poison request.
 
     :param cases: the cases.
-    :param seeds: plays of each.
+    :param seeds: simulations of each case and rule.
     """
-    yield f"{'case':42}{'rule':26}{'innocent':>10}{'held':>7}{'a million':>11}{'ended each':>12}"
+    yield f"{'case':42}{'rule':26}{'innocent':>10}{'held':>7}{'per 1e6':>11}{'lost each':>12}"
     for case in cases:
         for name in make_rules():
-            found = [play(case, make_rules()[name], seed) for seed in range(seeds)]
+            found = [simulate(case, make_rules()[name], seed) for seed in range(seeds)]
             innocent, held = sum(f.innocent for f in found), sum(f.held for f in found)
-            ended = sum(f.ended for f in found) / max(1, sum(f.crashers for f in found))
+            lost = sum(f.crashed_engines for f in found) / max(1, sum(f.poison for f in found))
             rate = 1e6 * held / max(1, innocent)
-            yield f"{case.name:42}{name:26}{innocent:>10}{held:>7}{rate:>11.0f}{ended:>12.2f}"
+            yield f"{case.name:42}{name:26}{innocent:>10}{held:>7}{rate:>11.0f}{lost:>12.2f}"
--- a/tests/test_guarding.py
+++ b/tests/test_guarding.py
@@ -1,4 +1,4 @@
-"""Tests of the one way to upstreams: what counts as an end, and what goes no further."""
+"""Tests of the dispatch guard: what counts as a crash, and which sends are refused."""
 
 import unittest
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.routing import Repeat
-from daleroad.suspects import HELD_SECONDS, TRIAL_SECONDS, Standing
+from daleroad.suspects import HOLD_BACKOFF_SECONDS, TRIAL_SECONDS, Standing
 from tests.fakes import (
     WHOLE,
     FakeDispatcher,
@@ -39,19 +39,19 @@
 
 
 async def hold(gateway: Gateway) -> None:
-    """Let three upstreams end under the request of these tests."""
+    """Record three crashed upstreams for the request of these tests."""
     for number in (4, 5, 6):
         attempt = make_attempt(number)
         gateway.guard.note_lost(attempt)
 
 
-class EvidenceTest(unittest.TestCase):
-    def judge(
+class CrashRecordTest(unittest.TestCase):
+    def send_and_get_standing(
         self, *replies: Reply, meanwhile: Callable[[Gateway, int], None] | None = None
     ) -> Standing:
-        """Send a request to upstreams 1, 2 and 3; return its standing then.
+        """Send a request to one upstream per reply, from 1; return its standing then.
 
-        :param meanwhile: what happens while an upstream has the request.
+        :param meanwhile: called while an upstream has the request.
         """
 
         async def main() -> Standing:
@@ -71,27 +71,29 @@
 
         return run(main)
 
-    def test_lost_answers_and_cut_streams_count(self) -> None:
+    def test_lost_responses_and_cut_streams_count_as_crashes(self) -> None:
         cut = FakeStream(1, 2, cut=True)
-        self.assertIs(self.judge(CUT, cut, CUT), Standing.HELD)
+        self.assertIs(self.send_and_get_standing(CUT, cut, CUT), Standing.HELD)
         self.assertEqual(len(self.pieces), 3)
 
-    def test_a_stream_counts_at_its_end_only(self) -> None:
-        self.assertIs(self.judge(FakeStream(1, 2), CUT, CUT, CUT), Standing.LAST)
+    def test_a_stream_counts_as_a_success_at_its_end_only(self) -> None:
+        self.assertIs(self.send_and_get_standing(FakeStream(1, 2), CUT, CUT, CUT), Standing.LAST)
 
-    def test_a_stream_without_an_event_is_no_whole_answer(self) -> None:
-        self.assertIs(self.judge(CUT, CUT, FakeStream(1, 0)), Standing.LAST)
-        self.assertIs(self.judge(CUT, CUT, FakeStream(1, 1)), Standing.CLEAR)
+    def test_a_stream_without_an_event_is_no_success(self) -> None:
+        self.assertIs(self.send_and_get_standing(CUT, CUT, FakeStream(1, 0)), Standing.LAST)
+        self.assertIs(self.send_and_get_standing(CUT, CUT, FakeStream(1, 1)), Standing.CLEAR)
 
-    def test_what_did_not_run_or_failed_there_says_nothing(self) -> None:
+    def test_requests_that_did_not_run_or_failed_are_no_evidence(self) -> None:
         failed = Whole(500, (), b"")
-        self.assertIs(self.judge(CUT, CUT, NotRun("full")), Standing.LAST)
-        self.assertIs(self.judge(CUT, CUT, failed, NotRun("gone", gone=True)), Standing.LAST)
+        self.assertIs(self.send_and_get_standing(CUT, CUT, NotRun("full")), Standing.LAST)
+        self.assertIs(
+            self.send_and_get_standing(CUT, CUT, failed, NotRun("gone", gone=True)), Standing.LAST
+        )
 
-    def test_a_whole_answer_clears(self) -> None:
-        self.assertIs(self.judge(CUT, CUT, WHOLE), Standing.CLEAR)
+    def test_a_complete_response_clears_the_request(self) -> None:
+        self.assertIs(self.send_and_get_standing(CUT, CUT, WHOLE), Standing.CLEAR)
 
-    def test_an_upstream_that_said_that_it_leaves_has_not_ended_under_a_request(self) -> None:
+    def test_an_announced_shutdown_is_no_crash(self) -> None:
         for state in (InstanceState.LEAVING, InstanceState.GONE):
 
             def leave(gateway: Gateway, number: int, state: InstanceState = state) -> None:
@@ -99,20 +101,20 @@
                     now = anyio.current_time()
                     gateway.fleet.note(Sighting(make_instance(2, state), 0.0), now)
 
-            self.assertIs(self.judge(CUT, CUT, CUT, meanwhile=leave), Standing.LAST)
+            self.assertIs(self.send_and_get_standing(CUT, CUT, CUT, meanwhile=leave), Standing.LAST)
 
-    def test_one_that_is_back_already_has_ended(self) -> None:
+    def test_an_upstream_that_has_already_restarted_has_crashed(self) -> None:
         def restart(gateway: Gateway, number: int) -> None:
             younger = Instance(f"i{number}@9", "s", "10.0.0.1:1", "z", 24, InstanceState.READY, 1)
             named = replace(younger, name=f"i{number}", born=9)
             gateway.fleet.note(Sighting(named, 0.0), anyio.current_time())
 
-        self.assertIs(self.judge(CUT, CUT, CUT, meanwhile=restart), Standing.HELD)
+        self.assertIs(self.send_and_get_standing(CUT, CUT, CUT, meanwhile=restart), Standing.HELD)
 
 
-class HeldTest(unittest.TestCase):
-    def test_nothing_sends_what_is_held(self) -> None:
-        """First tries, streams made anew, runs that go on from a copy, runs with a backup."""
+class HeldRequestTest(unittest.TestCase):
+    def test_a_held_request_is_not_sent_in_any_way(self) -> None:
+        """First attempts, re-opened streams, generations resumed from a copy, and backups."""
 
         async def main() -> None:
             dispatcher = FakeDispatcher()
@@ -131,13 +133,13 @@
 
         run(main)
 
-    def serve(self, dispatcher: FakeDispatcher, ends: int, attempts: int = 1) -> Failure:
-        """Return the answer to a request under which some upstreams have ended before."""
+    def serve(self, dispatcher: FakeDispatcher, crashes: int, attempts: int = 1) -> Failure:
+        """Return the answer to a request that has crashed some upstreams before."""
 
         async def main() -> Failure:
             config = make_config(Repeat.IDEMPOTENT, attempts)
             gateway = make_gateway(dispatcher, config, anyio.current_time())
-            for number in range(ends):
+            for number in range(crashes):
                 gateway.guard.note_lost(make_attempt(4 + number))
             forwarder = make_forwarder(gateway)
             began = anyio.current_time()
@@ -148,21 +150,21 @@
 
         return run(main)
 
-    def test_its_caller_hears_at_once_that_nothing_ran_and_to_come_back_late(self) -> None:
+    def test_the_caller_is_refused_at_once_with_a_long_retry_after(self) -> None:
         dispatcher = FakeDispatcher()
         outcome = self.serve(dispatcher, 3)
         self.assertEqual((outcome.kind, outcome.ran), (FailureKind.HELD, Ran.NO))
-        self.assertEqual(outcome.retry_after, HELD_SECONDS[0])
+        self.assertEqual(outcome.retry_after, HOLD_BACKOFF_SECONDS[0])
         self.assertEqual(dispatcher.attempts, [])
 
-    def test_what_ran_is_not_told_as_not_run(self) -> None:
+    def test_a_request_that_may_have_run_is_not_reported_as_not_run(self) -> None:
         dispatcher = FakeDispatcher(CUT)
         outcome = self.serve(dispatcher, 2, attempts=2)
         self.assertEqual((outcome.kind, outcome.ran), (FailureKind.UPSTREAM_LOST, Ran.UNKNOWN))
         self.assertIsNone(outcome.retry_after)
         self.assertEqual(len(dispatcher.attempts), 1)
 
-    def test_what_is_held_meanwhile_says_nothing_against_its_upstream(self) -> None:
+    def test_a_hold_during_placement_is_no_failure_of_the_upstream(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher()
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
@@ -181,7 +183,7 @@
 
         run(main)
 
-    def test_the_last_try_goes_where_least_runs(self) -> None:
+    def test_the_last_try_goes_to_the_least_loaded_upstream(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher(WHOLE)
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
@@ -197,7 +199,7 @@
 
         run(main)
 
-    def test_after_long_one_gateway_tries_it_where_least_runs(self) -> None:
+    def test_after_the_hold_a_trial_goes_to_the_least_loaded_upstream(self) -> None:
         async def main(granted: bool) -> FakeDispatcher:
             dispatcher = FakeDispatcher(CUT)
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
@@ -212,7 +214,7 @@
             forwarder = make_forwarder(gateway)
             gateway.loads.add(make_instance(1), 1, 0)
             gateway.loads.add(make_instance(3), 1, 0)
-            await anyio.sleep(HELD_SECONDS[0] + 0.01)
+            await anyio.sleep(HOLD_BACKOFF_SECONDS[0] + 0.01)
             for number in (1, 2, 3):
                 sighting = Sighting(make_instance(number), 0.0)
                 gateway.fleet.note(sighting, anyio.current_time())
@@ -226,13 +228,13 @@
         self.assertEqual(attempt.instance.id, "i2")
         self.assertIs(self.outcome.ran, Ran.UNKNOWN)
 
-    def test_without_leave_it_is_not_tried(self) -> None:
+    def test_without_a_granted_trial_it_is_not_tried(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher()
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
             await hold(gateway)
             forwarder = make_forwarder(gateway)
-            await anyio.sleep(HELD_SECONDS[0] + 0.01)
+            await anyio.sleep(HOLD_BACKOFF_SECONDS[0] + 0.01)
             outcome = await forwarder.serve(make_job(anyio.current_time()))
             self.assertIs(outcome.kind, FailureKind.HELD)
             self.assertEqual(outcome.retry_after, TRIAL_SECONDS)
@@ -240,7 +242,7 @@
 
         run(main)
 
-    def test_another_caller_or_body_is_served(self) -> None:
+    def test_another_caller_or_body_is_not_held(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher(WHOLE, WHOLE)
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Tests of requests that entries hold back, since upstreams ended while they ran them."""
+"""Tests of the holding of suspected poison requests at entries."""
 
 import time
 import unittest
@@ -28,7 +28,7 @@
 
 
 class HoldingTest(unittest.TestCase):
-    """One entry on a clock."""
+    """One entry on a mock clock."""
 
     def run_entry(self, body: Callable[[Entry], Coroutine[Any, Any, None]]) -> None:
         settings = make_site("/nowhere", 1, 1).entries[0]
@@ -43,55 +43,55 @@
         with patch("daleroad.entry.Links"):
             trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def lose(self, entry: Entry, *names: str) -> None:
+    def record_crashes(self, entry: Entry, *names: str) -> None:
         for name in names:
             entry.holding.note_lost(FINGERPRINT, ORGANISATION, ROUTE, name)
 
     def get(self, entry: Entry) -> Standing:
         return entry.env.suspects.get_standing(FINGERPRINT, anyio.current_time())
 
-    def test_ends_here_and_at_other_entries_add_up(self) -> None:
+    def test_crashes_recorded_here_and_at_other_entries_add_up(self) -> None:
         async def body(entry: Entry) -> None:
-            self.lose(entry, "u1")
+            self.record_crashes(entry, "u1")
             self.assertIsNone(entry.holding.find_refusal(FINGERPRINT))
             other = Entry(entry.env.settings, Random(1))
-            self.lose(other, "u2", "u3")
-            told = other.env.suspects.list_changed(anyio.current_time())
-            entry.holding.take(Suspicions(told))
+            self.record_crashes(other, "u2", "u3")
+            reports = other.env.suspects.list_changed(anyio.current_time())
+            entry.holding.take(Suspicions(reports))
             self.assertIsNotNone(entry.holding.find_refusal(FINGERPRINT))
 
         self.run_entry(body)
 
-    def test_an_upstream_that_drains_has_not_ended_under_a_request(self) -> None:
+    def test_a_draining_upstream_has_not_crashed(self) -> None:
         async def body(entry: Entry) -> None:
             leaving = Upstream("u3", "a", "narrator", "z", state=State.DRAINING)
             entry.env.catalog.upstreams["u3"] = leaving
-            self.lose(entry, "u1", "u2", "u3")
+            self.record_crashes(entry, "u1", "u2", "u3")
             self.assertIs(self.get(entry), Standing.LAST)
 
         self.run_entry(body)
 
-    def test_an_upstream_that_is_a_member_for_long_has_not_ended(self) -> None:
+    def test_an_upstream_still_a_member_after_its_lease_has_not_crashed(self) -> None:
         async def body(entry: Entry) -> None:
             entry.env.catalog.upstreams["u2"] = Upstream("u2", "a", "narrator", "z")
-            self.lose(entry, "u1", "u2", "u3")
+            self.record_crashes(entry, "u1", "u2", "u3")
             self.assertIs(self.get(entry), Standing.HELD)
             await anyio.sleep(entry.env.settings.upstream_lease + STILL_THERE_SECONDS + 0.1)
             self.assertIs(self.get(entry), Standing.LAST)
 
         self.run_entry(body)
 
-    def test_a_whole_answer_takes_an_end_back(self) -> None:
+    def test_a_complete_response_cancels_a_crash(self) -> None:
         async def body(entry: Entry) -> None:
-            self.lose(entry, "u1", "u2", "u3")
+            self.record_crashes(entry, "u1", "u2", "u3")
             entry.holding.note_whole(FINGERPRINT)
             self.assertIs(self.get(entry), Standing.LAST)
 
         self.run_entry(body)
 
 
-class EndedEnginesTest(SiteTest):
-    """Three engines are killed while they run one request; it came by different entries."""
+class CrashedEnginesTest(SiteTest):
+    """Three engines are killed while running one request, sent through different entries."""
 
     ENGINES = 5
 
@@ -104,7 +104,7 @@
     def test_the_request_is_refused_at_each_entry_and_others_are_served(self) -> None:
         prompt = "Narrate the Danube #tokens=4000"
         for number in range(3):
-            self.end_engine_under(prompt, number % len(self.site.entries))
+            self.kill_engine_running(prompt, number % len(self.site.entries))
         wait_for(self.is_held_everywhere, "the request held at all entries")
         for entry in range(len(self.site.entries)):
             began = time.monotonic()
@@ -122,8 +122,8 @@
         url = f"{self.site.entries[entry].url}/v1/completions"
         return httpx.post(url, json=body, headers=headers, timeout=60, trust_env=False)
 
-    def end_engine_under(self, prompt: str, entry: int) -> None:
-        """Ask for a stream, and kill its engine once it has begun."""
+    def kill_engine_running(self, prompt: str, entry: int) -> None:
+        """Start a stream and kill its engine after the first piece."""
         headers = {"authorization": f"Bearer {get_token(CALLER)}"}
         body = {"route": "bulletin", "prompt": prompt, "max_tokens": 0, "stream": True}
         url = f"{self.site.entries[entry].url}/v1/completions"
--- a/tests/test_suspectmodel.py
+++ b/tests/test_suspectmodel.py
@@ -1,27 +1,20 @@
-"""Benchmark of the rule that holds requests back, against others, on the same seeds.
-
-Ten plays of 300 s a case, of a million innocent requests those held: single ends of engines,
-115,633 by a plain count of three, 1,615 by Wald's sequential test, 53 by the rule in use; ends of
-four engines at once 129,058, 29,655, 3,163 (5,160 before an end used up one whole answer only); a
-crashing request 34,825, 7,224, 109. Each rule lets a crashing request end three engines (the count
-of two: two, and holds up to a quarter of the others).
-"""
+"""Tests that the rule in use rarely holds back innocent requests and stops poison requests."""
 
 import unittest
 
-from daleroad.suspectmodel import CASES, HeldCount, make_rules, play
+from daleroad.suspectmodel import CASES, RuleOutcome, make_rules, simulate
 
 SEEDS = 4
 
 
-def measure(case_name: str, rule: str) -> HeldCount:
+def simulate_all(case_name: str, rule: str) -> RuleOutcome:
     case = next(case for case in CASES if case.name == case_name)
-    found = [play(case, make_rules()[rule], seed) for seed in range(SEEDS)]
-    return HeldCount(
+    found = [simulate(case, make_rules()[rule], seed) for seed in range(SEEDS)]
+    return RuleOutcome(
         sum(f.innocent for f in found),
         sum(f.held for f in found),
-        sum(f.crashers for f in found),
-        sum(f.ended for f in found),
+        sum(f.poison for f in found),
+        sum(f.crashed_engines for f in found),
     )
 
 
@@ -29,23 +22,23 @@
     IN_USE = list(make_rules())[-1]
 
     def test_innocent_requests_are_rarely_held(self) -> None:
-        for case, most in (
+        for case, limit in (
             ("single ends", 0.0005),
             ("ends of four at once", 0.003),
             ("a crashing request", 0.0005),
         ):
             with self.subTest(case):
-                found = measure(case, self.IN_USE)
-                self.assertLess(found.held / found.innocent, most)
+                found = simulate_all(case, self.IN_USE)
+                self.assertLess(found.held / found.innocent, limit)
 
-    def test_other_rules_hold_more_of_them(self) -> None:
-        used = measure("ends of four at once", self.IN_USE)
+    def test_other_rules_hold_more_innocent_requests(self) -> None:
+        in_use = simulate_all("ends of four at once", self.IN_USE)
         for rule in list(make_rules())[:-1]:
             with self.subTest(rule):
-                other = measure("ends of four at once", rule)
-                self.assertGreater(other.held, 3 * used.held)
+                other = simulate_all("ends of four at once", rule)
+                self.assertGreater(other.held, 3 * in_use.held)
 
-    def test_a_crashing_request_ends_three_engines(self) -> None:
-        found = measure("a crashing request beside single ends", self.IN_USE)
-        self.assertGreater(found.crashers, 10)
-        self.assertLessEqual(found.ended / found.crashers, 3.1)
+    def test_a_poison_request_crashes_three_engines(self) -> None:
+        found = simulate_all("a crashing request beside single ends", self.IN_USE)
+        self.assertGreater(found.poison, 10)
+        self.assertLessEqual(found.crashed_engines / found.poison, 3.1)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of what is held against requests: counting, taking back, telling, bounds."""
+"""Tests of the detection of poison requests: counting, retraction, replication, bounds."""
 
 import unittest
 from random import Random
@@ -6,17 +6,17 @@
 from daleroad.outbox import Outbox
 from daleroad.suspects import (
     CRASHES_HELD,
-    CRASHES_LAST,
-    ENDS_KEPT,
-    HELD_KEPT_SECONDS,
-    HELD_SECONDS,
-    SUSPECT_KEPT_SECONDS,
-    SUSPECTS_MOST,
+    CREDIT_TTL_SECONDS,
+    HELD_RETENTION_SECONDS,
+    HOLD_BACKOFF_SECONDS,
+    MAX_CRASHES_KEPT,
+    MAX_CREDITED_REQUESTS,
+    MAX_CREDITS,
+    MAX_SUSPECTS,
+    MIN_CRASHES_LAST_TRY,
+    SUCCEEDED_HOLD_SECONDS,
+    SUSPECT_RETENTION_SECONDS,
     TRIAL_SECONDS,
-    VOUCHED_MOST,
-    VOUCHED_SECONDS,
-    VOUCHES_EACH,
-    WHOLE_HELD_SECONDS,
     Standing,
     Suspects,
     Suspicion,
@@ -30,12 +30,12 @@
 
     def crash(self, fingerprint: str, *instances: str, at: float = 0.0) -> None:
         for instance in instances:
-            self.suspects.note_crash(fingerprint, "org", "h/x", instance, at)
+            self.suspects.record_crash(fingerprint, "org", "h/x", instance, at)
 
     def get(self, fingerprint: str, at: float = 0.0) -> Standing:
         return self.suspects.get_standing(fingerprint, at)
 
-    def test_ends_of_different_instances_add_up(self) -> None:
+    def test_crashes_of_different_instances_add_up(self) -> None:
         expected = [Standing.CLEAR, Standing.LAST, Standing.HELD, Standing.HELD]
         for number, standing in enumerate(expected):
             self.crash("bad", f"i{number}")
@@ -43,54 +43,54 @@
         self.assertIs(self.get("other"), Standing.CLEAR)
         self.assertEqual(self.suspects.count_held(0.0), 1)
 
-    def test_an_end_counts_once_however_many_tell_it(self) -> None:
+    def test_repeated_crashes_of_one_instance_count_once(self) -> None:
         self.crash("bad", "i1", "i1", "i1", "i1")
         self.assertIs(self.get("bad"), Standing.CLEAR)
         self.assertTrue(self.suspects.is_empty())
 
-    def test_a_whole_answer_takes_an_end_back_or_makes_up_for_the_next(self) -> None:
+    def test_a_success_cancels_a_past_crash_or_the_next(self) -> None:
         self.crash("good", "i1", "i2")
-        self.assertIsNotNone(self.suspects.note_whole("good", 0.0))
+        self.assertIsNotNone(self.suspects.record_success("good", 0.0))
         self.assertIs(self.get("good"), Standing.CLEAR)
-        self.assertIsNone(self.suspects.note_whole("popular", 0.0))
+        self.assertIsNone(self.suspects.record_success("popular", 0.0))
         self.crash("popular", "i1", "i2")
         self.assertIs(self.get("popular"), Standing.CLEAR)
         self.crash("popular", "i3")
         self.assertIs(self.get("popular"), Standing.LAST)
 
-    def test_whole_answers_make_up_for_so_many_ends_and_no_more(self) -> None:
-        for _ in range(10 * VOUCHES_EACH):
-            self.suspects.note_whole("turned", 0.0)
-        self.crash("turned", *(f"i{n}" for n in range(VOUCHES_EACH + CRASHES_HELD)))
-        self.assertIs(self.get("turned"), Standing.HELD)
+    def test_credits_for_successes_are_bounded(self) -> None:
+        for _ in range(10 * MAX_CREDITS):
+            self.suspects.record_success("regressed", 0.0)
+        self.crash("regressed", *(f"i{n}" for n in range(MAX_CREDITS + CRASHES_HELD)))
+        self.assertIs(self.get("regressed"), Standing.HELD)
 
-    def test_one_that_ends_an_upstream_two_times_out_of_three_is_held(self) -> None:
+    def test_a_request_that_crashes_two_times_out_of_three_is_held(self) -> None:
         random = Random(3)
         for number in range(60):
             if random.random() < 2 / 3:
-                self.crash("moody", f"i{number}")
+                self.crash("flaky", f"i{number}")
             else:
-                self.suspects.note_whole("moody", 0.0)
-        self.assertIs(self.get("moody"), Standing.HELD)
+                self.suspects.record_success("flaky", 0.0)
+        self.assertIs(self.get("flaky"), Standing.HELD)
 
-    def test_an_instance_that_lives_has_not_ended_under_any_request(self) -> None:
+    def test_a_live_instance_has_its_crash_retracted_for_every_request(self) -> None:
         self.crash("a", "i1", "i2", "i3")
         self.crash("b", "i2")
-        told = self.suspects.note_alive("i2", 1.0)
-        self.assertEqual({t.fingerprint for t in told}, {"a", "b"})
+        reports = self.suspects.record_alive("i2", 1.0)
+        self.assertEqual({r.fingerprint for r in reports}, {"a", "b"})
         self.assertIs(self.get("a"), Standing.LAST)
         self.crash("a", "i2")
         self.assertIs(self.get("a"), Standing.LAST)
 
-    def test_ends_that_a_held_request_explains_count_against_no_other(self) -> None:
-        self.crash("beside", "i1", "i2")
-        self.assertIs(self.get("beside"), Standing.LAST)
+    def test_crashes_that_a_held_request_explains_count_against_no_other(self) -> None:
+        self.crash("bystander", "i1", "i2")
+        self.assertIs(self.get("bystander"), Standing.LAST)
         self.crash("bad", "i1", "i2", "i3")
         self.assertIs(self.get("bad"), Standing.HELD)
-        self.assertIs(self.get("beside"), Standing.CLEAR)
+        self.assertIs(self.get("bystander"), Standing.CLEAR)
 
-    def test_ends_of_a_held_one_count_against_none_that_ever_ended_whole(self) -> None:
-        """What all clients ask for runs wherever an upstream ends under another request."""
+    def test_crashes_of_a_held_request_do_not_count_against_one_that_succeeded(self) -> None:
+        """A popular request is running on any upstream that another request crashes."""
         self.suspects.merge(Suspicion("popular", "org", "h/x", ("i0",), ("i0",), whole=True), 0.0)
         self.crash("popular", "i1", "i2", "i3", "i4")
         self.assertIs(self.get("popular"), Standing.HELD)
@@ -98,34 +98,35 @@
         self.assertIs(self.get("bad"), Standing.HELD)
         self.assertIs(self.get("popular"), Standing.CLEAR)
 
-    def test_one_that_was_at_each_end_of_a_held_one_is_held_with_it(self) -> None:
+    def test_a_request_with_the_same_crashes_as_a_held_one_is_held_too(self) -> None:
         self.crash("bad", "i1", "i2", "i3")
         self.crash("twin", "i1", "i2", "i3")
         self.assertIs(self.get("twin"), Standing.HELD)
 
-    def test_one_that_may_end_upstreams_hides_behind_no_other(self) -> None:
-        # In a soak what all clients asked for was held first, with more ends, and explained those
-        # of the request that ended upstreams: ten of them.
+    def test_a_possible_poison_request_is_not_explained_away_by_another(self) -> None:
+        # A popular request with more crashes, held first, must not explain those of the poison one.
         self.crash("popular", "i1", "i2", "i3", "i4", "i5")
         self.crash("bad", "i1", "i2", "i3")
         self.assertIs(self.get("bad"), Standing.HELD)
 
-    def test_one_that_ever_ended_whole_is_held_for_less(self) -> None:
+    def test_a_request_that_once_succeeded_is_held_for_less_time(self) -> None:
         self.suspects.merge(Suspicion("popular", "org", "h/x", ("i0",), ("i0",), whole=True), 0.0)
         for further in range(8):
             self.crash("popular", *(f"i{n}" for n in range(1, 4 + further)))
             left = self.suspects.get_held_left("popular", 0.0)
-            self.assertEqual(left, min(HELD_SECONDS[0], WHOLE_HELD_SECONDS * 2**further))
+            self.assertEqual(
+                left, min(HOLD_BACKOFF_SECONDS[0], SUCCEEDED_HOLD_SECONDS * 2**further)
+            )
 
-    def test_runs_that_ended_at_one_instance_use_up_one_whole_answer(self) -> None:
+    def test_several_runs_on_one_crashed_instance_use_one_credit(self) -> None:
         for _ in range(2):
-            self.suspects.note_whole("popular", 0.0)
+            self.suspects.record_success("popular", 0.0)
         self.crash("popular", "i1", "i1", "i1", "i2")
         known = self.suspects.get("popular", 0.0)
         assert known is not None
         self.assertEqual((known.crashes, set(known.cleared)), ((), {"i1", "i2"}))
 
-    def test_an_operator_releases_it_until_it_ends_upstreams_again(self) -> None:
+    def test_a_released_request_is_held_again_after_new_crashes(self) -> None:
         self.crash("bad", "i1", "i2", "i3")
         self.assertIsNotNone(self.suspects.release("bad", 0.0))
         self.assertIs(self.get("bad"), Standing.CLEAR)
@@ -133,120 +134,120 @@
         self.crash("bad", "i1", "i4", "i5", "i6")
         self.assertIs(self.get("bad"), Standing.HELD)
 
-    def test_it_is_tried_after_long_and_held_longer_by_each_end(self) -> None:
+    def test_a_hold_expires_to_a_trial_and_grows_with_each_crash(self) -> None:
         self.crash("bad", "i1", "i2", at=0.0)
         at = 0.0
-        for number, seconds in enumerate([*HELD_SECONDS, HELD_SECONDS[-1]]):
+        for number, seconds in enumerate([*HOLD_BACKOFF_SECONDS, HOLD_BACKOFF_SECONDS[-1]]):
             self.crash("bad", f"i{3 + number}", at=at)
             self.assertIs(self.get("bad", at + seconds - 1), Standing.HELD)
             self.assertEqual(self.suspects.get_held_left("bad", at + 10), seconds - 10)
             at += seconds
             self.suspects.prune(at)
             self.assertIs(self.get("bad", at), Standing.TRIAL)
-        self.suspects.note_whole("bad", at)
-        self.suspects.note_whole("bad", at)
+        self.suspects.record_success("bad", at)
+        self.suspects.record_success("bad", at)
         self.assertIs(self.get("bad", at), Standing.TRIAL)
 
-    def test_one_gateway_at_a_time_tries_it(self) -> None:
+    def test_a_trial_is_claimed_once_per_interval(self) -> None:
         trials = Trials()
-        self.assertTrue(trials.take("bad", 0.0))
-        self.assertFalse(trials.take("bad", TRIAL_SECONDS - 0.1))
-        self.assertTrue(trials.take("other", 0.0))
-        self.assertTrue(trials.take("bad", TRIAL_SECONDS))
-
-    def test_whole_answers_here_take_back_what_others_saw(self) -> None:
-        """All gateways ask for the same to the letter; three upstreams end under another one."""
-        self.suspects.note_whole("popular", 0.0)
+        self.assertTrue(trials.claim("bad", 0.0))
+        self.assertFalse(trials.claim("bad", TRIAL_SECONDS - 0.1))
+        self.assertTrue(trials.claim("other", 0.0))
+        self.assertTrue(trials.claim("bad", TRIAL_SECONDS))
+
+    def test_local_credits_cancel_crashes_recorded_elsewhere(self) -> None:
+        """Another request crashes three upstreams while they also run a popular one."""
+        self.suspects.record_success("popular", 0.0)
         seen_elsewhere = Suspicion("popular", "org", "h/x", ("i1", "i2", "i3"))
         self.suspects.merge(seen_elsewhere, 1.0)
         self.assertIs(self.get("popular", 1.0), Standing.HELD)
-        told = self.suspects.refute("popular", 1.0)
-        assert told is not None
-        self.assertEqual(told.cleared, ("i1",))
+        report = self.suspects.refute("popular", 1.0)
+        assert report is not None
+        self.assertEqual(report.cleared, ("i1",))
         self.assertIs(self.get("popular", 1.0), Standing.LAST)
         self.assertIsNone(self.suspects.refute("popular", 1.0))
 
-    def test_whole_answers_of_long_ago_make_up_for_nothing(self) -> None:
+    def test_expired_credits_cancel_nothing(self) -> None:
         for _ in range(5):
-            self.suspects.note_whole("turned", 0.0)
-        later = VOUCHED_SECONDS + 0.1
-        self.crash("turned", "i1", "i2", "i3", at=later)
-        self.assertIs(self.get("turned", later), Standing.HELD)
+            self.suspects.record_success("regressed", 0.0)
+        later = CREDIT_TTL_SECONDS + 0.1
+        self.crash("regressed", "i1", "i2", "i3", at=later)
+        self.assertIs(self.get("regressed", later), Standing.HELD)
 
-    def test_what_ended_nothing_for_long_is_forgotten(self) -> None:
-        self.crash("beside", "i1", "i2")
+    def test_suspects_are_forgotten_after_their_retention_time(self) -> None:
+        self.crash("bystander", "i1", "i2")
         self.crash("bad", "i3", "i4", "i5")
-        self.suspects.prune(SUSPECT_KEPT_SECONDS + 1)
-        self.assertIsNone(self.suspects.get("beside", 0.0))
+        self.suspects.prune(SUSPECT_RETENTION_SECONDS + 1)
+        self.assertIsNone(self.suspects.get("bystander", 0.0))
         self.assertIsNotNone(self.suspects.get("bad", 0.0))
-        self.suspects.prune(HELD_KEPT_SECONDS + 1)
+        self.suspects.prune(HELD_RETENTION_SECONDS + 1)
         self.assertIsNone(self.suspects.get("bad", 0.0))
         self.assertTrue(self.suspects.is_empty())
 
-    def test_a_caller_with_a_million_requests_pushes_out_its_own(self) -> None:
-        self.suspects.note_crash("victim", "other", "h/x", "i0", 0.0)
-        for number in range(3 * SUSPECTS_MOST):
-            self.suspects.note_crash(f"f{number}", "flood", "h/x", f"i{number}", float(number))
-        self.assertEqual(len(self.suspects.list_changed(0.0)), SUSPECTS_MOST)
+    def test_a_caller_that_floods_evicts_its_own_requests(self) -> None:
+        self.suspects.record_crash("victim", "other", "h/x", "i0", 0.0)
+        for number in range(3 * MAX_SUSPECTS):
+            self.suspects.record_crash(f"f{number}", "flood", "h/x", f"i{number}", float(number))
+        self.assertEqual(len(self.suspects.list_changed(0.0)), MAX_SUSPECTS)
         self.assertIsNotNone(self.suspects.get("victim", 0.0))
-        for number in range(2 * VOUCHED_MOST):
-            self.suspects.note_whole(f"w{number}", 0.0)
-        self.assertLessEqual(len(self.suspects._vouched), VOUCHED_MOST)
+        for number in range(2 * MAX_CREDITED_REQUESTS):
+            self.suspects.record_success(f"w{number}", 0.0)
+        self.assertLessEqual(len(self.suspects._credits), MAX_CREDITED_REQUESTS)
 
-    def test_what_is_held_is_kept_when_others_are_pushed_out(self) -> None:
+    def test_a_held_request_survives_eviction(self) -> None:
         self.crash("bad", "i1", "i2", "i3")
-        for number in range(2 * SUSPECTS_MOST):
-            self.suspects.note_crash(f"f{number}", "org", "h/x", f"j{number}", float(number))
+        for number in range(2 * MAX_SUSPECTS):
+            self.suspects.record_crash(f"f{number}", "org", "h/x", f"j{number}", float(number))
         self.assertIs(self.get("bad"), Standing.HELD)
 
-    def test_more_ends_than_are_kept_are_no_news_again_and_again(self) -> None:
-        many = tuple(f"i{number}" for number in range(3 * ENDS_KEPT))
-        told = Suspicion("bad", "org", "h/x", many)
-        self.assertTrue(self.suspects.merge(told, 0.0))
+    def test_crashes_beyond_the_bound_change_nothing_when_reported_again(self) -> None:
+        many = tuple(f"i{number}" for number in range(3 * MAX_CRASHES_KEPT))
+        report = Suspicion("bad", "org", "h/x", many)
+        self.assertTrue(self.suspects.merge(report, 0.0))
         revision = self.suspects.revision
-        self.assertFalse(self.suspects.merge(told, 0.0))
+        self.assertFalse(self.suspects.merge(report, 0.0))
         self.assertEqual(self.suspects.revision, revision)
 
-    def test_only_what_matters_is_told_to_gateways(self) -> None:
+    def test_gateways_get_reports_on_flagged_requests_only(self) -> None:
         self.crash("once", "i1")
         self.crash("twice", "i1", "i2")
         marked = self.suspects.list_changed(0.0, 0, marked=True)
-        self.assertEqual([told.fingerprint for told in marked], ["twice"])
+        self.assertEqual([report.fingerprint for report in marked], ["twice"])
         known = self.suspects.marked_revision
         self.crash("another", "i3")
         self.assertEqual(self.suspects.marked_revision, known)
         self.assertEqual(self.suspects.list_changed(0.0, known, marked=True), ())
         revision = self.suspects.revision
-        self.suspects.note_whole("twice", 0.0)
-        (told,) = self.suspects.list_changed(0.0, revision, marked=True)
-        self.assertEqual((told.crashes, told.cleared), (("i2",), ("i1",)))
+        self.suspects.record_success("twice", 0.0)
+        (report,) = self.suspects.list_changed(0.0, revision, marked=True)
+        self.assertEqual((report.crashes, report.cleared), (("i2",), ("i1",)))
 
-    def test_news_for_one_that_knows_nothing_of_it_counts_for_nothing(self) -> None:
+    def test_a_retraction_for_an_unknown_request_is_ignored(self) -> None:
         self.assertFalse(self.suspects.merge(Suspicion("f", "org", "h/x", (), ("i1",)), 0.0))
         self.assertIsNone(self.suspects.get("f", 0.0))
 
 
 class ConvergenceTest(unittest.TestCase):
-    """Processes that hear the same news in other orders, and twice, come to the same view."""
+    """Processes that get the same reports in any order, and repeatedly, reach the same state."""
 
     SEEDS = 150
     NAMES = ("a", "b", "c", "d")
 
-    def test_all_come_to_one_view(self) -> None:
+    def test_all_converge(self) -> None:
         for seed in range(self.SEEDS):
             with self.subTest(seed):
                 self.check(Random(seed))
 
     def check(self, random: Random) -> None:
         processes = [Suspects() for _ in range(4)]
-        heard = [[0] * 4 for _ in range(4)]
+        known_revisions = [[0] * 4 for _ in range(4)]
         for _ in range(60):
-            self.act(random, random.choice(processes))
-            self.tell(random, processes, heard)
+            self.record_event(random, random.choice(processes))
+            self.send_some(random, processes, known_revisions)
         for _ in range(4):
-            for teller in range(4):
-                for hearer in range(4):
-                    self.tell_one(processes, heard, teller, hearer)
+            for sender in range(4):
+                for receiver in range(4):
+                    self.send(processes, known_revisions, sender, receiver)
         views = [
             {t.fingerprint: (set(t.crashes), s.get_standing(t.fingerprint, 0.0))}
             for s in processes
@@ -256,36 +257,42 @@
             (name,) = view
             self.assertTrue(all(other == view for other in views if name in other))
 
-    def act(self, random: Random, process: Suspects) -> None:
+    def record_event(self, random: Random, process: Suspects) -> None:
         name, instance = random.choice(self.NAMES), f"i{random.randrange(6)}"
         match random.randrange(8):
             case 0:
-                process.note_whole(name, 0.0)
+                process.record_success(name, 0.0)
             case 1:
-                process.note_alive(instance, 0.0)
+                process.record_alive(instance, 0.0)
             case _:
-                process.note_crash(name, "org", "h/x", instance, 0.0)
+                process.record_crash(name, "org", "h/x", instance, 0.0)
 
-    def tell(self, random: Random, processes: list[Suspects], heard: list[list[int]]) -> None:
-        teller, hearer = random.randrange(4), random.randrange(4)
+    def send_some(
+        self, random: Random, processes: list[Suspects], known_revisions: list[list[int]]
+    ) -> None:
+        sender, receiver = random.randrange(4), random.randrange(4)
         if random.random() < 0.5:
-            self.tell_one(processes, heard, teller, hearer)
+            self.send(processes, known_revisions, sender, receiver)
         if random.random() < 0.1:
-            # Told once more from the beginning, as to one that has started anew.
-            heard[teller][hearer] = 0
-
-    def tell_one(
-        self, processes: list[Suspects], heard: list[list[int]], teller: int, hearer: int
+            # Sent again from the beginning, as to a process that has restarted.
+            known_revisions[sender][receiver] = 0
+
+    def send(
+        self,
+        processes: list[Suspects],
+        known_revisions: list[list[int]],
+        sender: int,
+        receiver: int,
     ) -> None:
-        told = processes[teller].list_changed(0.0, heard[teller][hearer])
-        heard[teller][hearer] = processes[teller].revision
-        if teller != hearer:
-            for suspicion in told:
-                processes[hearer].merge(suspicion, 0.0)
+        reports = processes[sender].list_changed(0.0, known_revisions[sender][receiver])
+        known_revisions[sender][receiver] = processes[sender].revision
+        if sender != receiver:
+            for report in reports:
+                processes[receiver].merge(report, 0.0)
 
 
 class OutboxTest(unittest.TestCase):
-    def test_each_hears_what_came_after_what_it_knows(self) -> None:
+    def test_each_reader_gets_what_was_added_after_its_position(self) -> None:
         outbox: Outbox[str] = Outbox()
         self.assertEqual(outbox.list_after(0), ())
         for text in "abc":
@@ -293,7 +300,7 @@
         self.assertEqual(outbox.list_after(1), ("b", "c"))
         self.assertEqual(outbox.list_after(outbox.newest), ())
 
-    def test_the_newest_are_kept(self) -> None:
+    def test_the_newest_entries_are_kept(self) -> None:
         outbox: Outbox[int] = Outbox()
         for number in range(10_000):
             outbox.add(number)
@@ -303,5 +310,5 @@
 
 
 class BoundsTest(unittest.TestCase):
-    def test_the_last_try_comes_before_it_is_held(self) -> None:
-        self.assertEqual(CRASHES_LAST + 1, CRASHES_HELD)
+    def test_the_last_try_comes_one_crash_before_the_hold(self) -> None:
+        self.assertEqual(MIN_CRASHES_LAST_TRY + 1, CRASHES_HELD)
