--- a/src/daleroad/suspectcommands.py
+++ b/src/daleroad/suspectcommands.py
@@ -1,4 +1,4 @@
-"""Commands about requests under which upstreams ended: list, release, weigh the rule."""
+"""Operator commands on suspected poison requests: list, release, and compare detection rules."""
 
 import json
 
@@ -11,13 +11,13 @@
 
 
 class SuspectCommands:
-    """Requests under which upstreams ended. The secret of our processes is in DALEROAD_SECRET."""
+    """Requests suspected of crashing upstreams. Set DALEROAD_SECRET to the processes' secret."""
 
     def list(self, coordinator: str) -> None:
-        """Print the suspected requests, one JSON object a line; any coordinator knows all.
+        """Print the suspected requests as JSON lines; any coordinator can answer.
 
         Args:
-            coordinator: IP:PORT where our processes call it.
+            coordinator: IP:PORT of its internal API.
         """
         answer = ask_coordinator(coordinator, "suspects", b"{}", SuspectsAnswer)
         for known in answer.suspicions:
@@ -34,20 +34,20 @@
 
     @SetParseFn(str, "fingerprint")
     def release(self, coordinator: str, fingerprint: str) -> None:
-        """Take back all that is held against a request, at all gateways.
+        """Retract all crashes recorded for a request, at all gateways.
 
         Args:
-            coordinator: IP:PORT where our processes call it.
-            fingerprint: the request, as ``list`` prints it.
+            coordinator: IP:PORT of its internal API.
+            fingerprint: the fingerprint that ``list`` prints.
         """
         ask_coordinator(coordinator, "release", encode(ReleaseRequest(fingerprint)), type(None))
         print("released")
 
     def weigh(self, seeds: int = 10) -> None:
-        """Compare rules that hold requests back, in virtual time.
+        """Simulate and compare rules for holding requests back.
 
         Args:
-            seeds: plays of each case.
+            seeds: simulations of each case and rule.
         """
         for line in compare_rules(CASES, seeds):
             print(line)
--- a/src/daleroad/suspectfile.py
+++ b/src/daleroad/suspectfile.py
@@ -1,8 +1,8 @@
-"""The suspected requests on a coordinator's disk, for after a loss of all processes.
+"""Persistence of the suspected requests in a file on a coordinator's disk.
 
-Gateways and coordinators tell each other what they hold against requests, so it is lost only where
-all of them end at once. What is written is at most FLEET_KEPT_SECONDS old; what came later is
-learnt anew. Time without power is not counted: what was held stays so a little longer.
+Gateways and coordinators replicate the suspects among themselves, so the file matters only after
+all of them have failed at once. Changes are written every FLEET_KEPT_SECONDS; later ones are lost
+and learnt anew. Ages are stored as of the write, so downtime does not shorten a hold.
 """
 
 from pathlib import Path
@@ -19,42 +19,46 @@
 
 
 class SuspectKeeper:
-    """Keeps suspects on a disk.
+    """Writes suspects to a file and reads them back after a restart.
 
-    :param folder: where.
-    :param suspects: what is kept.
+    :param folder: the folder of the file.
+    :param suspects: the suspects to persist.
     """
 
     def __init__(self, folder: Path, suspects: Suspects) -> None:
         self._path = folder / _NAME
         self._suspects = suspects
-        self._kept = 0
+        self._written_revision = 0
 
     def recover(self) -> None:
-        """Begin with what was held before the restart."""
+        """Load the suspects that were written before the restart."""
         found = load_suspects(self._path)
         if isinstance(found, Failure):
             log_event(Event.SUSPECTS_NOT_KEPT, reason=found.reason)
             return
         now = anyio.current_time()
-        for told in found:
-            self._suspects.merge(told, now)
-        self._kept = self._suspects.revision
+        for report in found:
+            self._suspects.merge(report, now)
+        self._written_revision = self._suspects.revision
         log_event(Event.SUSPECTS_RECOVERED, requests=len(found))
 
     async def run(self) -> None:
-        """Write the suspects down whenever they changed, until cancelled."""
+        """Write the file whenever the suspects have changed, until cancelled."""
         suspects = self._suspects
         await keep_file(
-            self._path, lambda: suspects.revision, self._dump, Event.SUSPECTS_NOT_KEPT, self._kept
+            self._path,
+            lambda: suspects.revision,
+            self._encode,
+            Event.SUSPECTS_NOT_KEPT,
+            self._written_revision,
         )
 
-    def _dump(self) -> bytes:
+    def _encode(self) -> bytes:
         return encode(self._suspects.list_changed(anyio.current_time()), tuple[Suspicion, ...])
 
 
 def load_suspects(path: Path) -> tuple[Suspicion, ...] | Failure:
-    """Return what the file holds, nothing where there is none, or why it can't be read.
+    """Return the reports in a file, none if it doesn't exist, or why it can't be read.
 
     :param path: the file.
     """
