--- a/src/daleroad/admission.py
+++ b/src/daleroad/admission.py
@@ -1,7 +1,7 @@
-"""Admission to one upstream by its steward. Pure: events in, decisions out, no clock of its own.
+"""Admission control for one upstream, run by its steward. Pure: the caller passes in the time.
 
-The steward keeps a ledger of the work that it admitted, corrected by the upstream's reports, and
-admits more only while the memory that the whole batch is expected to need at its peak fits.
+The steward tracks the requests that it admitted, corrects that state by the upstream's reports, and
+admits more only while the expected peak memory of the whole batch fits.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,42 +13,43 @@
 from daleroad.lengths import Lengths
 from daleroad.messages import Work
 
-FOREIGN_MOST_TOKENS = 32_768
-"""Limit assumed for the output of work that this steward didn't admit."""
+MAX_UNKNOWN_OUTPUT_TOKENS = 32_768
+"""Output limit assumed for a generation that this steward did not admit."""
 
-_ENDED_MOST = 512
+_MAX_FINISHED_IDS = 512
 
 
 @dataclass(frozen=True)
 class Unlimited:
-    """Admit everything. A baseline."""
+    """Admits every request. A baseline for the bench."""
 
 
 @dataclass(frozen=True)
 class FixedLimit:
-    """Admit up to a number of requests. A baseline."""
+    """Admits up to a fixed number of concurrent requests. A baseline for the bench."""
 
-    most: int
+    max_requests: int
 
 
 @dataclass(frozen=True)
 class MeanLength:
-    """Admit while memory suffices if each output had its mean length. A baseline."""
+    """Admits while memory suffices if each output has the mean length. A baseline for the bench."""
 
 
 @dataclass(frozen=True)
 class PeakMemory:
-    """Admit while the batch's expected peak of memory fits.
+    """Admits while the batch's expected peak memory fits.
 
-    The quantile of output lengths moves so that about ``target`` preemptions are seen for each
-    finished request: up at once for a preemption, slowly down otherwise.
+    Output lengths are estimated by a quantile of the lengths seen. A preemption raises the quantile
+    and a finished request lowers it, so that it settles where about ``target_preemptions`` occur
+    for each finished request.
     """
 
-    quantile: float = 0.5
-    least: float = 0.2
-    most: float = 0.98
+    initial_quantile: float = 0.5
+    min_quantile: float = 0.2
+    max_quantile: float = 0.98
     step: float = 0.03
-    target: float = 0.015
+    target_preemptions: float = 0.015
 
 
 Policy = Unlimited | FixedLimit | MeanLength | PeakMemory
@@ -56,14 +57,14 @@
 
 @dataclass(frozen=True)
 class Granted:
-    """The work may be dispatched now."""
+    """The request may be dispatched now."""
 
     work: Work
 
 
 @dataclass(frozen=True)
 class Queued:
-    """The work waits.
+    """The request is queued.
 
     :param wait: expected wait in seconds.
     """
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The work will not be admitted here."""
+    """The request will not be admitted to this upstream."""
 
     work: Work
     failure: Failure
@@ -84,58 +85,69 @@
 
 
 @dataclass
-class _Running:
-    """Admitted work in the ledger."""
+class _AdmittedRequest:
+    """A request that runs on the upstream or is about to be dispatched to it.
+
+    :param reported: whether the upstream has reported it.
+    :param charged_tokens: tokens charged to its queue so far; an estimate until it finishes.
+    """
 
     work: Work
     admitted_at: float
-    produced: int = 0
+    produced_tokens: int = 0
     reported: bool = False
-    charged: float = 0.0
+    charged_tokens: float = 0.0
 
 
 @dataclass(frozen=True)
-class _Waiting:
-    """Work in the queue, by identity."""
-
+class _QueuedRequest:
     work: Work
-    since: float
-    until: float
+    queued_at: float
+    deadline_at: float
 
 
 @dataclass(frozen=True)
 class Load:
-    """What an upstream reports. Memory in tokens."""
+    """An upstream's report of its load.
 
-    used: int
+    :param used_tokens: memory in use.
+    :param preemptions: cumulative number of preemptions.
+    :param produced_tokens: tokens produced so far, by generation.
+    """
+
+    used_tokens: int
     preemptions: int
-    produced: dict[str, int]
+    produced_tokens: dict[str, int]
 
 
-def get_peak(items: Iterable[tuple[float, float]]) -> float:
-    """Return the largest memory that a batch will need if the expected rests come true.
+def compute_peak_memory(sequences: Iterable[tuple[float, float]]) -> float:
+    """Return the peak memory of a batch whose sequences produce the tokens expected of them.
 
-    At the moment an item ends, those with a longer rest still run and have grown by as much.
+    The peak is reached when some sequence ends: those with more remaining tokens still run and have
+    grown by as many tokens as it has.
 
-    :param items: memory now and expected rest of each item, in tokens.
+    :param sequences: memory in use and expected remaining output of each, in tokens.
     """
-    held = 0.0
+    used = 0.0
     peak = 0.0
-    for count, (memory, rest) in enumerate(sorted(items, key=lambda i: -i[1]), start=1):
-        held += memory
-        peak = max(peak, held + count * rest)
+    for count, (memory, remaining) in enumerate(sorted(sequences, key=lambda s: -s[1]), start=1):
+        used += memory
+        peak = max(peak, used + count * remaining)
     return peak
 
 
 class Admission:
-    """The ledger, the queue and the rules of one upstream.
+    """The admitted requests, the queues and the admission policy of one upstream.
 
-    :param capacity: memory in tokens; 0 when only the slots limit.
-    :param slots: largest batch.
+    :param capacity: memory in tokens; 0 if only the slots limit.
+    :param slots: maximum batch size.
     :param lengths: history of output lengths.
     :param policy: how to admit.
-    :param queue_most: works that may wait.
-    :param reserve: share of memory and slots kept for urgent work.
+    :param max_queued: number of queued requests from which a partner is held to its share.
+    :param urgent_reserve: fraction of memory and slots reserved for urgent requests.
+    :ivar draining: whether the upstream is leaving; every new request is refused.
+    :ivar rebuilding: whether a former steward may still admit requests; only urgent ones are
+        admitted then, within the reserve.
     """
 
     def __init__(
@@ -144,325 +156,347 @@
         slots: int,
         lengths: Lengths,
         policy: Policy,
-        queue_most: int = QUEUE_MOST,
-        reserve: float = URGENT_RESERVE,
+        max_queued: int = QUEUE_MOST,
+        urgent_reserve: float = URGENT_RESERVE,
     ) -> None:
         self.capacity = capacity
         self.slots = slots
         self.lengths = lengths
         self.policy = policy
-        self.quantile = policy.quantile if isinstance(policy, PeakMemory) else 0.0
+        self.quantile = policy.initial_quantile if isinstance(policy, PeakMemory) else 0.0
         self.draining = False
         self.rebuilding = False
-        self._queue_most = queue_most
-        self._reserve = reserve
-        self._running: dict[str, _Running] = {}
-        self._urgent: FairQueue[_Waiting] = FairQueue()
-        self._long: FairQueue[_Waiting] = FairQueue()
-        self._waiting: dict[str, _Waiting] = {}
-        self._ended: dict[str, None] = {}
+        self._max_queued = max_queued
+        self._urgent_reserve = urgent_reserve
+        self._admitted: dict[str, _AdmittedRequest] = {}
+        self._urgent_queue: FairQueue[_QueuedRequest] = FairQueue()
+        self._normal_queue: FairQueue[_QueuedRequest] = FairQueue()
+        self._queued: dict[str, _QueuedRequest] = {}
+        self._finished_ids: dict[str, None] = {}
         self._preemptions: int | None = None
         self._shares: dict[str, float] = {}
-        self._rate = 0.0
-        self._produced_at: float | None = None
+        self._tokens_per_second = 0.0
+        self._reported_at: float | None = None
 
     def __len__(self) -> int:
-        return len(self._running)
+        return len(self._admitted)
 
     def set_shares(self, shares: dict[str, float]) -> None:
-        """Set the partners' shares.
+        """Set the partners' shares of the upstream.
 
-        :param shares: share by partner.
+        :param shares: share by partner; only the proportions matter.
         """
         self._shares = shares
         for partner, share in shares.items():
-            self._urgent.set_share(partner, share)
-            self._long.set_share(partner, share)
+            self._urgent_queue.set_share(partner, share)
+            self._normal_queue.set_share(partner, share)
 
     def get_load(self) -> float:
-        """Return the promised part of the upstream: memory at its peak, or slots, over all."""
-        slots = len(self._running) / max(1, self.slots)
+        """Return the larger of the occupied fraction of slots and of expected peak memory."""
+        slots = len(self._admitted) / max(1, self.slots)
         if not self.capacity:
             return slots
-        return max(slots, self._get_peak(None) / self.capacity)
+        return max(slots, self._estimate_peak(None) / self.capacity)
 
     def count_waiting(self) -> int:
-        """Return how many works wait."""
-        return len(self._waiting)
+        """Return the number of queued requests."""
+        return len(self._queued)
 
     def list_works(self) -> Iterator[tuple[Work, int]]:
-        """Yield the works in the ledger with their tokens so far."""
-        for running in self._running.values():
-            yield running.work, running.produced
+        """Yield the admitted requests with the number of tokens that each has produced."""
+        for admitted in self._admitted.values():
+            yield admitted.work, admitted.produced_tokens
 
     def ask(self, work: Work, now: float, weight: float = 1.0, may_wait: bool = True) -> Decision:
-        """Admit, queue or refuse a work.
+        """Admit, queue or refuse a request.
 
-        :param work: the work.
+        :param work: the request.
         :param now: the time.
-        :param weight: its organisation's weight.
+        :param weight: weight of its organisation.
         :param may_wait: whether it may be queued.
         """
         if self.draining:
-            return Refused(work, Failure(FailureKind.DRAINING, "the upstream is leaving"))
-        if self.capacity and work.prompt_tokens + 1 > self.capacity * (1 - self._reserve):
-            reason = f"the prompt needs more than the {self.capacity} tokens of memory"
+            return Refused(work, Failure(FailureKind.DRAINING, "the upstream is draining"))
+        if self.capacity and work.prompt_tokens + 1 > self.capacity * (1 - self._urgent_reserve):
+            reason = (
+                "the prompt does not fit the unreserved part of the upstream's "
+                f"{self.capacity} tokens of memory"
+            )
             return Refused(work, Failure(FailureKind.TOO_LARGE, reason))
-        queue = self._urgent if work.urgent else self._long
-        if not len(queue) and self._fits(work, now):
+        queue = self._urgent_queue if work.urgent else self._normal_queue
+        if not len(queue) and self._can_admit(work, now):
             self._admit(work, now, queue)
             return Granted(work)
         wait = self._estimate_wait(work)
         if not may_wait:
-            return Refused(work, Failure(FailureKind.OVERLOADED, "no room now", retry_after=wait))
+            return Refused(
+                work, Failure(FailureKind.OVERLOADED, "no free capacity", retry_after=wait)
+            )
         if wait > work.deadline or self._is_queue_full(work):
             after = max(0.5, wait - work.deadline, wait / 2)
             reason = f"the expected wait is {wait:.1f} s"
             return Refused(work, Failure(FailureKind.OVERLOADED, reason, retry_after=after))
-        waiting = _Waiting(work, now, now + work.deadline)
-        self._waiting[work.generation] = waiting
-        queue.push(work.partner, work.organisation, weight, waiting)
+        queued = _QueuedRequest(work, now, now + work.deadline)
+        self._queued[work.generation] = queued
+        queue.push(work.partner, work.organisation, weight, queued)
         return Queued(work, wait)
 
-    def withdraw(self, generation: str) -> None:
-        """Forget a work that waits.
+    def withdraw(self, generation_id: str) -> None:
+        """Remove a request from the queue, if it is queued.
 
-        :param generation: its generation.
+        :param generation_id: its generation.
         """
-        waiting = self._waiting.pop(generation, None)
-        if waiting is not None:
-            self._remove(waiting)
+        queued = self._queued.pop(generation_id, None)
+        if queued is not None:
+            self._remove_queued(queued)
 
-    def finish(self, generation: str, tokens: int, ok: bool = True) -> None:
-        """Strike a work off the ledger.
+    def finish(self, generation_id: str, tokens: int, ok: bool = True) -> None:
+        """Release the capacity of a request that ended.
 
-        :param generation: its generation.
-        :param tokens: what it produced.
-        :param ok: whether it came to its natural end, so that its length counts.
+        :param generation_id: its generation.
+        :param tokens: number of tokens that it produced.
+        :param ok: whether it ran to completion, so that its length enters the history.
         """
-        running = self._running.pop(generation, None)
-        if running is None:
-            self.withdraw(generation)
+        admitted = self._admitted.pop(generation_id, None)
+        if admitted is None:
+            self.withdraw(generation_id)
             return
-        self._note_ended(generation)
-        work = running.work
+        self._remember_finished(generation_id)
+        work = admitted.work
         if not work.route:
             return
-        queue = self._urgent if work.urgent else self._long
-        queue.charge(work.partner, work.organisation, tokens - running.charged)
+        queue = self._urgent_queue if work.urgent else self._normal_queue
+        queue.charge(work.partner, work.organisation, tokens - admitted.charged_tokens)
         if ok:
             self.lengths.add(work.route, work.model, tokens)
-            self._learn_finish()
+            self._lower_quantile()
 
-    def restore(self, work: Work, produced: int, now: float) -> None:
-        """Put a work into the ledger that a predecessor admitted.
+    def restore(self, work: Work, produced_tokens: int, now: float) -> None:
+        """Add a request that a former steward admitted.
 
-        :param work: the work.
-        :param produced: its tokens so far.
+        :param work: the request.
+        :param produced_tokens: number of tokens that it has produced.
         :param now: the time.
         """
-        known = self._running.get(work.generation)
+        known = self._admitted.get(work.generation)
         if known is not None and known.work.route:
             return
-        if work.generation in self._ended:
+        if work.generation in self._finished_ids:
             return
         reported = known is not None
-        self._running[work.generation] = _Running(work, now, produced, reported, produced)
+        self._admitted[work.generation] = _AdmittedRequest(
+            work, now, produced_tokens, reported, produced_tokens
+        )
 
     def report(self, load: Load, now: float) -> None:
-        """Correct the ledger by an upstream's report.
+        """Reconcile the admitted requests with an upstream's report.
 
         :param load: the report.
         :param now: the time.
         """
         total = 0
-        for generation, produced in load.produced.items():
-            running = self._running.get(generation) or self._add_foreign(generation, load, now)
-            if running is None:
+        for generation_id, produced in load.produced_tokens.items():
+            admitted = self._admitted.get(generation_id) or self._add_unknown(
+                generation_id, load, now
+            )
+            if admitted is None:
                 continue
-            total += max(0, produced - running.produced)
-            running.produced = max(running.produced, produced)
-            running.reported = True
-        self._note_rate(total, now)
-        self._drop_lost(load, now)
+            total += max(0, produced - admitted.produced_tokens)
+            admitted.produced_tokens = max(admitted.produced_tokens, produced)
+            admitted.reported = True
+        self._update_rate(total, now)
+        self._drop_missing(load, now)
         if self._preemptions is not None and load.preemptions > self._preemptions:
-            self._learn_preemptions(load.preemptions - self._preemptions)
+            self._raise_quantile(load.preemptions - self._preemptions)
         self._preemptions = load.preemptions
 
     def advance(self, now: float) -> list[Granted | Refused]:
-        """Admit what fits by now, and refuse what waited past its deadline.
+        """Admit queued requests that fit, and refuse those whose deadline has passed.
 
         :param now: the time.
         """
-        decisions: list[Granted | Refused] = list(self._refuse_late(now))
-        aged = self._is_aged(now)
+        decisions: list[Granted | Refused] = list(self._refuse_expired(now))
+        aged = self._has_aged_request(now)
         if aged:
-            decisions.extend(self._admit_from(self._long, now, aged=False))
-        decisions.extend(self._admit_from(self._urgent, now, aged))
-        decisions.extend(self._admit_from(self._long, now, aged=False))
+            decisions.extend(self._admit_from(self._normal_queue, now, aged=False))
+        decisions.extend(self._admit_from(self._urgent_queue, now, aged))
+        decisions.extend(self._admit_from(self._normal_queue, now, aged=False))
         return decisions
 
     def refuse_all(self, failure: Failure) -> list[Refused]:
-        """Refuse all that waits.
+        """Refuse all queued requests.
 
-        :param failure: why.
+        :param failure: the reason.
         """
-        refused = [Refused(waiting.work, failure) for waiting in self._waiting.values()]
+        refused = [Refused(queued.work, failure) for queued in self._queued.values()]
         for item in refused:
             self.withdraw(item.work.generation)
         return refused
 
     def _admit_from(
-        self, queue: FairQueue[_Waiting], now: float, aged: bool
+        self, queue: FairQueue[_QueuedRequest], now: float, aged: bool
     ) -> Iterator[Granted | Refused]:
-        while (waiting := queue.peek()) is not None:
-            if not self._fits(waiting.work, now, aged):
+        while (queued := queue.peek()) is not None:
+            if not self._can_admit(queued.work, now, aged):
                 return
             queue.pop()
-            del self._waiting[waiting.work.generation]
-            self._admit(waiting.work, now, queue)
-            yield Granted(waiting.work)
-
-    def _note_ended(self, generation: str) -> None:
-        self._ended[generation] = None
-        if len(self._ended) > _ENDED_MOST:
-            del self._ended[next(iter(self._ended))]
-
-    def _refuse_late(self, now: float) -> Iterator[Refused]:
-        late = [w for w in self._waiting.values() if w.until <= now]
-        for waiting in late:
-            self.withdraw(waiting.work.generation)
-            wait = self._estimate_wait(waiting.work)
-            reason = "the deadline passed in the queue"
+            del self._queued[queued.work.generation]
+            self._admit(queued.work, now, queue)
+            yield Granted(queued.work)
+
+    def _remember_finished(self, generation_id: str) -> None:
+        self._finished_ids[generation_id] = None
+        if len(self._finished_ids) > _MAX_FINISHED_IDS:
+            del self._finished_ids[next(iter(self._finished_ids))]
+
+    def _refuse_expired(self, now: float) -> Iterator[Refused]:
+        expired = [q for q in self._queued.values() if q.deadline_at <= now]
+        for queued in expired:
+            self.withdraw(queued.work.generation)
+            wait = self._estimate_wait(queued.work)
+            reason = "the deadline passed while the request was queued"
             failure = Failure(FailureKind.DEADLINE, reason, retry_after=max(0.5, wait / 2))
-            yield Refused(waiting.work, failure)
+            yield Refused(queued.work, failure)
 
-    def _remove(self, waiting: _Waiting) -> None:
-        queue = self._urgent if waiting.work.urgent else self._long
-        queue.remove(waiting.work.partner, waiting.work.organisation, waiting)
+    def _remove_queued(self, queued: _QueuedRequest) -> None:
+        queue = self._urgent_queue if queued.work.urgent else self._normal_queue
+        queue.remove(queued.work.partner, queued.work.organisation, queued)
 
-    def _is_aged(self, now: float) -> bool:
-        head = self._long.peek()
-        return head is not None and now - head.since > AGEING_SECONDS
+    def _has_aged_request(self, now: float) -> bool:
+        """Return whether the next non-urgent request has been queued for too long."""
+        head = self._normal_queue.peek()
+        return head is not None and now - head.queued_at > AGEING_SECONDS
 
-    def _admit(self, work: Work, now: float, queue: FairQueue[_Waiting]) -> None:
+    def _admit(self, work: Work, now: float, queue: FairQueue[_QueuedRequest]) -> None:
         expected = min(self.lengths.estimate_mean(work.route, work.model), work.most_tokens)
-        self._running[work.generation] = _Running(work, now, charged=expected)
+        self._admitted[work.generation] = _AdmittedRequest(work, now, charged_tokens=expected)
         queue.charge(work.partner, work.organisation, expected)
 
-    def _fits(self, work: Work, now: float, aged: bool = False) -> bool:
-        """Return whether a work may be admitted now.
+    def _can_admit(self, work: Work, now: float, aged: bool = False) -> bool:
+        """Return whether a request may be admitted now.
 
-        Urgent work may use everything, long work all but the reserve. While long work has
-        waited too long, urgent work keeps to the reserve.
+        Urgent requests may use the whole upstream, others all but the reserve. While a non-urgent
+        request has aged, or the state is being rebuilt, urgent ones are confined to the reserve.
         """
-        share = 1.0 if work.urgent else 1.0 - self._reserve
+        share = 1.0 if work.urgent else 1.0 - self._urgent_reserve
         if self.rebuilding and not work.urgent:
             return False
-        running = list(self._running.values())
+        admitted = list(self._admitted.values())
         if aged or self.rebuilding:
-            share = self._reserve
-            running = [r for r in running if r.work.urgent]
+            share = self._urgent_reserve
+            admitted = [a for a in admitted if a.work.urgent]
         match self.policy:
             case Unlimited():
                 return True
-            case FixedLimit(most):
-                return len(self._running) < most
+            case FixedLimit(max_requests):
+                return len(self._admitted) < max_requests
             case MeanLength() | PeakMemory():
-                if len(running) + 1 > max(1.0, self.slots * share):
+                if len(admitted) + 1 > max(1.0, self.slots * share):
                     return False
-                if not self.capacity or not running:
+                if not self.capacity or not admitted:
                     return True
-                return self._get_peak(work, running) <= self.capacity * share
-
-    def _get_peak(self, extra: Work | None, running: list[_Running] | None = None) -> float:
-        ledger = self._running.values() if running is None else running
-        items = [
-            (r.work.prompt_tokens + r.produced, self._estimate_rest(r.work, r.produced))
-            for r in ledger
+                return self._estimate_peak(work, admitted) <= self.capacity * share
+
+    def _estimate_peak(
+        self, extra: Work | None, admitted: list[_AdmittedRequest] | None = None
+    ) -> float:
+        """Return the expected peak memory of some or all admitted requests and an extra one."""
+        batch = self._admitted.values() if admitted is None else admitted
+        sequences = [
+            (
+                a.work.prompt_tokens + a.produced_tokens,
+                self._estimate_remaining(a.work, a.produced_tokens),
+            )
+            for a in batch
         ]
         if extra is not None:
-            items.append((extra.prompt_tokens, self._estimate_rest(extra, 0)))
-        return get_peak(items)
+            sequences.append((extra.prompt_tokens, self._estimate_remaining(extra, 0)))
+        return compute_peak_memory(sequences)
 
-    def _estimate_rest(self, work: Work, produced: int) -> float:
+    def _estimate_remaining(self, work: Work, produced_tokens: int) -> float:
         if isinstance(self.policy, MeanLength):
             mean = self.lengths.estimate_mean(work.route, work.model)
-            return max(1.0, min(mean, work.most_tokens) - produced)
+            return max(1.0, min(mean, work.most_tokens) - produced_tokens)
         return self.lengths.estimate_rest(
-            work.route, work.model, produced, work.most_tokens, self.quantile
+            work.route, work.model, produced_tokens, work.most_tokens, self.quantile
         )
 
     def _estimate_wait(self, work: Work) -> float:
-        """Return the expected wait in seconds.
+        """Return the expected queueing time in seconds.
 
-        All tokens ahead are served at the whole rate, but a partner's own at its share of the
-        rate at least, however long the others' queues are.
+        It is the smaller of two bounds: all tokens queued ahead at the upstream's whole rate, and
+        the tokens queued by the same partner at that partner's share of the rate.
         """
-        if self._rate <= 0:
+        if self._tokens_per_second <= 0:
             return 0.0
         total = 0.0
         own = 0.0
-        for waiting in self._waiting.values():
-            other = waiting.work
+        for queued in self._queued.values():
+            other = queued.work
             if other.urgent or not work.urgent:
                 mean = self.lengths.estimate_mean(other.route, other.model)
                 tokens = min(mean, other.most_tokens)
                 total += tokens
                 own += tokens if other.partner == work.partner else 0.0
         share = self._get_share(work.partner)
-        return min(total, own / share) / self._rate
+        return min(total, own / share) / self._tokens_per_second
 
     def _get_share(self, partner: str) -> float:
-        """Return a partner's part of the shares, or all without shares."""
+        """Return a partner's fraction of all shares, or 1 if it has none."""
         total = sum(self._shares.values())
         if partner not in self._shares or total <= 0:
             return 1.0
         return max(0.01, self._shares[partner] / total)
 
     def _is_queue_full(self, work: Work) -> bool:
-        """Return whether a partner uses up the queue, or its share of a full one."""
-        if len(self._waiting) < self._queue_most:
-            return False
-        own = sum(w.work.partner == work.partner for w in self._waiting.values())
-        most = self._queue_most * self._get_share(work.partner)
-        return own >= most or len(self._waiting) >= 2 * self._queue_most
-
-    def _note_rate(self, tokens: int, now: float) -> None:
-        if self._produced_at is not None and now > self._produced_at:
-            rate = tokens / (now - self._produced_at)
-            self._rate += 0.2 * (rate - self._rate)
-        self._produced_at = now
+        """Return whether a request exceeds its partner's share of a full queue.
 
-    def _add_foreign(self, generation: str, load: Load, now: float) -> _Running | None:
-        """Put reported work into the ledger that this steward didn't admit.
-
-        Its holder tells more of it by :meth:`restore`. Reports come late, so work that ended
-        since is not taken for foreign.
+        A queue of twice the limit is full for everyone.
+        """
+        if len(self._queued) < self._max_queued:
+            return False
+        own = sum(q.work.partner == work.partner for q in self._queued.values())
+        max_own = self._max_queued * self._get_share(work.partner)
+        return own >= max_own or len(self._queued) >= 2 * self._max_queued
+
+    def _update_rate(self, tokens: int, now: float) -> None:
+        """Update the moving average of the upstream's token rate."""
+        if self._reported_at is not None and now > self._reported_at:
+            rate = tokens / (now - self._reported_at)
+            self._tokens_per_second += 0.2 * (rate - self._tokens_per_second)
+        self._reported_at = now
+
+    def _add_unknown(self, generation_id: str, load: Load, now: float) -> _AdmittedRequest | None:
+        """Add a placeholder for a reported generation that this steward did not admit.
+
+        :meth:`restore` replaces it once the entry that delivers it hands it over. Reports may be
+        stale, so a generation that has finished here is ignored.
         """
-        if generation in self._ended:
+        if generation_id in self._finished_ids:
             return None
-        known = sum(r.work.prompt_tokens + r.produced for r in self._running.values())
-        produced = load.produced[generation]
-        prompt = max(0, load.used - known - produced)
-        work = Work(generation, "", "", "", "", False, prompt, FOREIGN_MOST_TOKENS, 0.0)
-        running = _Running(work, now, produced, reported=True, charged=produced)
-        self._running[generation] = running
-        return running
-
-    def _drop_lost(self, load: Load, now: float) -> None:
-        """Drop work that the upstream no longer runs, or had time enough to start."""
-        for generation, running in list(self._running.items()):
-            overdue = now > running.admitted_at + PERMIT_SECONDS
-            if generation not in load.produced and (running.reported or overdue):
-                self.finish(generation, running.produced, ok=False)
-
-    def _learn_preemptions(self, count: int) -> None:
+        known = sum(a.work.prompt_tokens + a.produced_tokens for a in self._admitted.values())
+        produced = load.produced_tokens[generation_id]
+        prompt = max(0, load.used_tokens - known - produced)
+        work = Work(generation_id, "", "", "", "", False, prompt, MAX_UNKNOWN_OUTPUT_TOKENS, 0.0)
+        admitted = _AdmittedRequest(work, now, produced, reported=True, charged_tokens=produced)
+        self._admitted[generation_id] = admitted
+        return admitted
+
+    def _drop_missing(self, load: Load, now: float) -> None:
+        """Drop requests that the upstream no longer reports, or never did within the timeout."""
+        for generation_id, admitted in list(self._admitted.items()):
+            overdue = now > admitted.admitted_at + PERMIT_SECONDS
+            if generation_id not in load.produced_tokens and (admitted.reported or overdue):
+                self.finish(generation_id, admitted.produced_tokens, ok=False)
+
+    def _raise_quantile(self, preemptions: int) -> None:
         if isinstance(self.policy, PeakMemory):
-            raised = self.quantile + count * self.policy.step * (1 - self.policy.target)
-            self.quantile = min(self.policy.most, raised)
+            raised = self.quantile + preemptions * self.policy.step * (
+                1 - self.policy.target_preemptions
+            )
+            self.quantile = min(self.policy.max_quantile, raised)
 
-    def _learn_finish(self) -> None:
+    def _lower_quantile(self) -> None:
         if isinstance(self.policy, PeakMemory):
-            lowered = self.quantile - self.policy.step * self.policy.target
-            self.quantile = max(self.policy.least, lowered)
+            lowered = self.quantile - self.policy.step * self.policy.target_preemptions
+            self.quantile = max(self.policy.min_quantile, lowered)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission by expected peak memory, reserve, fairness, deadlines and recovery."""
+"""Tests of admission control: peak memory, urgent reserve, fairness, deadlines and recovery."""
 
 import unittest
 
@@ -14,7 +14,7 @@
     Queued,
     Refused,
     Unlimited,
-    get_peak,
+    compute_peak_memory,
 )
 from daleroad.defaults import AGEING_SECONDS
 from daleroad.errors import FailureKind
@@ -40,35 +40,36 @@
     return Admission(capacity, slots, lengths, PeakMemory())
 
 
-class PeakTest(unittest.TestCase):
-    def test_one_item(self) -> None:
-        self.assertEqual(get_peak([(100, 50)]), 150)
+class PeakMemoryTest(unittest.TestCase):
+    def test_single_sequence_peaks_at_its_end(self) -> None:
+        self.assertEqual(compute_peak_memory([(100, 50)]), 150)
 
-    def test_a_short_item_ends_before_the_long_one_peaks(self) -> None:
-        self.assertEqual(get_peak([(100, 100), (100, 10)]), 220)
+    def test_short_sequence_frees_its_memory_before_the_long_one_peaks(self) -> None:
+        self.assertEqual(compute_peak_memory([(100, 100), (100, 10)]), 220)
 
     @given(st.lists(st.tuples(st.integers(1, 50), st.integers(1, 30)), max_size=8))
-    def test_matches_a_step_by_step_count(self, items: list) -> None:
-        steps = range(1, max((rest for _, rest in items), default=0) + 1)
-        counted = [sum(m + t for m, rest in items if t <= rest) for t in steps]
+    def test_peak_matches_a_step_by_step_simulation(self, sequences: list) -> None:
+        steps = range(1, max((rest for _, rest in sequences), default=0) + 1)
+        simulated = [sum(m + t for m, rest in sequences if t <= rest) for t in steps]
         self.assertEqual(
-            get_peak([(float(m), float(r)) for m, r in items]), max(counted, default=0)
+            compute_peak_memory([(float(m), float(r)) for m, r in sequences]),
+            max(simulated, default=0),
         )
 
 
 class AdmitTest(unittest.TestCase):
-    def test_admits_until_the_expected_peak_is_full(self) -> None:
+    def test_requests_are_admitted_until_the_expected_peak_fills_memory(self) -> None:
         admission = make_admission()
         kinds = [type(admission.ask(make_work(str(i)), 0.0)) for i in range(6)]
         self.assertEqual(kinds, [Granted] * 4 + [Queued] * 2)
 
-    def test_the_reserve_is_for_urgent_work(self) -> None:
+    def test_urgent_requests_are_admitted_to_the_reserve(self) -> None:
         admission = make_admission(capacity=1000)
         for i in range(5):
             admission.ask(make_work(str(i)), 0.0)
         self.assertIsInstance(admission.ask(make_work("u", urgent=True, prompt=10), 0.0), Granted)
 
-    def test_a_finished_work_lets_the_next_one_in(self) -> None:
+    def test_finished_request_makes_room_for_the_next_one(self) -> None:
         admission = make_admission()
         for i in range(5):
             admission.ask(make_work(str(i)), 0.0)
@@ -76,11 +77,11 @@
         admission.finish("0", 100)
         self.assertEqual([d.work.generation for d in admission.advance(1.0)], ["4"])
 
-    def test_a_prompt_that_never_fits_is_refused(self) -> None:
+    def test_prompt_larger_than_memory_is_refused(self) -> None:
         decision = make_admission().ask(make_work("x", prompt=5000), 0.0)
         self.assertIs(decision.failure.kind, FailureKind.TOO_LARGE)
 
-    def test_what_waits_past_its_deadline_is_refused_at_once_with_when_to_come_back(self) -> None:
+    def test_queued_request_past_its_deadline_is_refused_with_retry_after(self) -> None:
         admission = make_admission()
         for i in range(4):
             admission.ask(make_work(str(i)), 0.0)
@@ -91,7 +92,7 @@
         self.assertIs(refused.failure.kind, FailureKind.DEADLINE)
         self.assertGreater(refused.failure.retry_after, 0)
 
-    def test_an_expected_wait_beyond_the_deadline_is_refused_at_once(self) -> None:
+    def test_request_whose_expected_wait_exceeds_its_deadline_is_refused_at_once(self) -> None:
         admission = make_admission()
         for i in range(12):
             admission.ask(make_work(str(i)), 0.0)
@@ -102,7 +103,7 @@
         self.assertIs(decision.failure.kind, FailureKind.OVERLOADED)
         self.assertGreater(decision.failure.retry_after, 0)
 
-    def test_aged_long_work_goes_before_urgent_work_beyond_the_reserve(self) -> None:
+    def test_aged_request_goes_before_urgent_requests_beyond_the_reserve(self) -> None:
         admission = make_admission(capacity=2000)
         for i in range(9):
             admission.ask(make_work(str(i)), 0.0)
@@ -121,31 +122,31 @@
         granted = [d.work.generation for d in admission.advance(now)]
         self.assertEqual(granted[0], "long")
 
-    def test_baselines(self) -> None:
+    def test_baseline_policies(self) -> None:
         for policy, count in ((Unlimited(), 50), (FixedLimit(3), 3)):
             admission = Admission(1000, 16, Lengths(), policy)
             kinds = [type(admission.ask(make_work(str(i)), 0.0)) for i in range(50)]
             self.assertEqual(kinds.count(Granted), count)
 
 
-class LearnTest(unittest.TestCase):
-    def test_preemptions_make_it_more_careful_and_quiet_less(self) -> None:
+class QuantileTest(unittest.TestCase):
+    def test_preemptions_raise_the_quantile_and_finished_requests_lower_it(self) -> None:
         admission = make_admission()
         before = admission.quantile
         admission.report(Load(0, 5, {}), 0.0)
         self.assertEqual(admission.quantile, before)
         admission.report(Load(0, 8, {}), 1.0)
-        careful = admission.quantile
-        self.assertGreater(careful, before)
+        raised = admission.quantile
+        self.assertGreater(raised, before)
         for i in range(50):
             admission.ask(make_work(f"w{i}"), 1.0)
             admission.finish(f"w{i}", 100)
-        self.assertLess(admission.quantile, careful)
+        self.assertLess(admission.quantile, raised)
 
 
-class FairTest(unittest.TestCase):
-    def test_a_flooding_partner_does_not_get_another_one_refused(self) -> None:
-        admission = Admission(1000, 16, make_admission().lengths, PeakMemory(), queue_most=20)
+class FairnessTest(unittest.TestCase):
+    def test_flood_from_one_partner_does_not_get_another_refused(self) -> None:
+        admission = Admission(1000, 16, make_admission().lengths, PeakMemory(), max_queued=20)
         admission.set_shares({"p": 0.5, "q": 0.5})
         for i in range(100):
             admission.ask(make_work(f"p{i}"), 0.0)
@@ -155,21 +156,21 @@
         self.assertEqual([d.work.generation for d in admission.advance(1.0)], ["q"])
 
 
-class LedgerTest(unittest.TestCase):
-    def test_reported_work_of_a_former_steward_counts(self) -> None:
+class ReconciliationTest(unittest.TestCase):
+    def test_reported_requests_of_a_former_steward_occupy_memory(self) -> None:
         admission = make_admission()
         admission.report(Load(900, 0, {"g1": 100, "g2": 100}), 0.0)
         self.assertEqual(len(admission), 2)
         self.assertIsInstance(admission.ask(make_work("x"), 0.0), Queued)
 
-    def test_a_late_report_does_not_bring_back_what_ended(self) -> None:
+    def test_stale_report_does_not_restore_a_finished_request(self) -> None:
         admission = make_admission()
         admission.ask(make_work("x"), 0.0)
         admission.finish("x", 10)
         admission.report(Load(110, 0, {"x": 9}), 0.5)
         self.assertEqual(len(admission), 0)
 
-    def test_work_that_the_upstream_no_longer_runs_is_struck_off(self) -> None:
+    def test_request_missing_from_later_reports_is_dropped(self) -> None:
         admission = make_admission()
         admission.ask(make_work("x"), 0.0)
         admission.report(Load(110, 0, {}), 0.5)
@@ -178,7 +179,7 @@
         admission.report(Load(0, 0, {}), 1.5)
         self.assertEqual(len(admission), 0)
 
-    def test_while_rebuilding_only_the_urgent_reserve_is_given(self) -> None:
+    def test_only_urgent_requests_within_the_reserve_are_admitted_while_rebuilding(self) -> None:
         admission = make_admission(capacity=10_000, slots=40)
         admission.rebuilding = True
         self.assertIsInstance(admission.ask(make_work("long"), 0.0), Queued)
@@ -189,23 +190,23 @@
         self.assertEqual(kinds, [Granted] * 4 + [Refused] * 6)
 
     @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 12)), max_size=80))
-    def test_any_order_of_events_keeps_the_books(self, events: list) -> None:
+    def test_no_request_leaks_under_any_order_of_events(self, events: list) -> None:
         admission = make_admission(capacity=1000)
-        open_works: set[str] = set()
-        for place, (action, number) in enumerate(events):
+        unfinished: set[str] = set()
+        for step, (action, number) in enumerate(events):
             name = f"{number}"
-            if action < 2 and name not in open_works:
+            if action < 2 and name not in unfinished:
                 work = make_work(name, urgent=action == 1, partner=f"p{number % 2}")
-                if not isinstance(admission.ask(work, float(place)), Refused):
-                    open_works.add(name)
+                if not isinstance(admission.ask(work, float(step)), Refused):
+                    unfinished.add(name)
             elif action == 2:
                 admission.finish(name, 50)
-                open_works.discard(name)
+                unfinished.discard(name)
             elif action == 3:
                 admission.withdraw(name)
-            admission.advance(float(place))
+            admission.advance(float(step))
             self.assertLessEqual(admission.count_waiting() + len(admission), 13)
             self.assertGreaterEqual(admission.get_load(), 0.0)
-        for name in open_works:
+        for name in unfinished:
             admission.finish(name, 1)
         self.assertEqual((len(admission), admission.count_waiting()), (0, 0))
