--- a/src/daleroad/placing.py
+++ b/src/daleroad/placing.py
@@ -1,8 +1,9 @@
-"""Plays prompts that many gateways place on engines by figures that are late. In virtual time.
+"""Simulates how gateways place prompts on engines by stale load figures. In virtual time.
 
-The load that it answers: long and short prompts mixed, each read for 0.3 to 0.5 s, while a gateway
-hears of the others' prompts a quarter of a second late or more. Engines read one prompt after the
-other between the tokens that they generate. What is looked at is when the first token comes.
+The workload mixes prompts with long and short outputs, whose prefill takes 0.41 and 0.34 s on
+average, while a gateway learns of the others' prompts only at intervals of 0.25 s or more. An
+engine prefills one prompt after the other, interleaved with decoding. The result is the time to the
+first token.
 """
 
 import heapq
@@ -18,36 +19,35 @@
 from daleroad.notices import Load
 from daleroad.picking import Candidate, Spread, estimate_load, make_spread, pick_upstream
 
-READ_TOKENS_SECOND = 7500.0
-"""Prompt tokens that an engine reads in a second while it generates: 112 in a step of 15 ms."""
+PREFILL_TOKENS_PER_SECOND = 7500.0
+"""Prefill rate of an engine that also decodes: 112 prompt tokens in a step of 15 ms."""
 
-TOKEN_SECONDS = 0.0085
-"""Time of one token of output, with some other generations on the engine."""
+DECODE_SECONDS_PER_TOKEN = 0.0085
+"""Time per output token while some other generations run on the engine."""
 
-SLOTS = 24
-MEMORY_TOKENS = 34_000
-"""An engine's size."""
+ENGINE_SLOTS = 24
+ENGINE_MEMORY_TOKENS = 34_000
 
-TELL_SECONDS = 0.1
-"""From a gateway's word of its loads until the others have it."""
+EXCHANGE_DELAY_SECONDS = 0.1
+"""Delay until the other gateways have the loads that a gateway sends."""
 
-CHANGE_SECONDS = 0.03
-"""From the end of some work until the process that chooses for all gateways has heard of it."""
+PLACER_DELAY_SECONDS = 0.03
+"""Delay until the central placer has learned that a prefill or an output ended."""
 
-_MOST_TOKENS = 6000.0
+_MAX_LENGTH_TOKENS = 6000.0
 
-Act = Callable[[float], Iterator[tuple[float, Any]]]
-"""What happens at a time; yields what follows, after how many seconds."""
+EventHandler = Callable[[float], Iterator[tuple[float, Any]]]
+"""Called with the time of an event; yields the delays and handlers of the events that follow."""
 
 
 @dataclass(frozen=True)
 class PromptKind:
     """One kind of prompt; lengths are drawn from log-normal distributions.
 
-    :param share: share of all prompts.
-    :param tokens: mean length, and its spread over the mean.
-    :param output: mean length of the output, and its spread over the mean.
-    :param objective: seconds to the first token.
+    :param share: fraction of all prompts.
+    :param tokens: mean of the prompt length, and its standard deviation over the mean.
+    :param output: mean of the output length, and its standard deviation over the mean.
+    :param objective: objective for the time to the first token, in seconds.
     """
 
     share: float
@@ -62,35 +62,35 @@
 
 @dataclass(frozen=True)
 class PlacingCase:
-    """One load and one site.
+    """One workload on one site.
 
-    :param rate: prompts a second, over all gateways.
-    :param interval: seconds between two words of a gateway of its loads.
-    :param spread: whether short generations follow orders of the gateways' own.
-    :param desk: whether one process chooses for all gateways and is told what changes.
+    :param prompts_per_second: rate over all gateways.
+    :param exchange_seconds: from a gateway's receipt of the others' loads to its next exchange.
+    :param spread: whether prompts with short outputs follow each gateway's own order of engines.
+    :param central_placer: whether one process chooses for all gateways.
     """
 
     gateways: int
     engines: int
-    rate: float
-    interval: float
+    prompts_per_second: float
+    exchange_seconds: float
     spread: bool
-    seconds: float = 120.0
-    desk: bool = False
+    duration_seconds: float = 120.0
+    central_placer: bool = False
 
 
 @dataclass(frozen=True)
 class PlacingResult:
-    """What callers got.
+    """Times to the first token.
 
-    :param late: share of prompts whose first token came after the objective.
-    :param mean: mean seconds to the first token.
-    :param p99: the 99th of a hundred.
+    :param late_share: fraction of prompts whose first token missed the objective.
+    :param mean_seconds: mean time to the first token.
+    :param p99_seconds: 99th percentile of the time to the first token.
     """
 
-    late: float
-    mean: float
-    p99: float
+    late_share: float
+    mean_seconds: float
+    p99_seconds: float
 
 
 CASES = (
@@ -100,50 +100,63 @@
     PlacingCase(9, 8, 12.5, 0.25, False),
     PlacingCase(71, 29, 29.0, 0.74, False),
 )
-"""Few and many gateways, some engines less, and a burst of half as many prompts again."""
+"""Few and many gateways, fewer engines, and a burst of 1.5 times the rate."""
 
 
 @dataclass
-class _World:
+class _Simulation:
+    """The state of one run.
+
+    :ivar own: by gateway, its own work at each engine.
+    :ivar others: by gateway, the other gateways' work as of the last exchange.
+    :ivar prefill_free_at: by engine, when it has prefilled all prompts placed there.
+    :ivar waits: for each prompt, the time to its first token and whether that missed the objective.
+    :ivar placed: the central placer's view of the work at each engine.
+    """
+
     case: PlacingCase
     random: Random
     engines: list[Instance]
     own: list[dict[str, Load]]
-    seen: list[dict[str, Load]]
-    free: dict[str, float]
+    others: list[dict[str, Load]]
+    prefill_free_at: dict[str, float]
     waits: list[tuple[float, bool]] = field(default_factory=list)
-    booked: dict[str, Load] = field(default_factory=dict)
+    placed: dict[str, Load] = field(default_factory=dict)
 
-    def book(self, load: Load) -> None:
-        self.booked[load.instance] = self.booked.get(load.instance, Load(load.instance)).add(load)
+    def add_placed(self, load: Load) -> None:
+        self.placed[load.instance] = self.placed.get(load.instance, Load(load.instance)).add(load)
 
-    def add(self, gateway: int, load: Load) -> None:
+    def add_own(self, gateway: int, load: Load) -> None:
         known = self.own[gateway].get(load.instance, Load(load.instance))
         self.own[gateway][load.instance] = known.add(load)
 
-    def get_order(self, gateway: int, kind: PromptKind) -> Spread:
+    def make_gateway_spread(self, gateway: int, kind: PromptKind) -> Spread:
         gateways = self.case.gateways if self.case.spread and kind is SHORT else 1
         return make_spread(f"gateway-{gateway}", gateways)
 
-    def choose(self, gateway: int, kind: PromptKind, tokens: int) -> str:
+    def choose_engine(self, gateway: int, kind: PromptKind, tokens: int) -> str:
         zone = self.engines[gateway % len(self.engines)].zone
-        if self.case.desk:
-            order = Spread()
-            candidates = (self.judge_booked(engine, tokens) for engine in self.engines)
+        if self.case.central_placer:
+            spread = Spread()
+            candidates = (self.make_placer_candidate(engine, tokens) for engine in self.engines)
         else:
-            order = self.get_order(gateway, kind)
-            candidates = (self.judge(gateway, engine, tokens) for engine in self.engines)
-        found = pick_upstream(candidates, zone, self.random, spread=order)
+            spread = self.make_gateway_spread(gateway, kind)
+            candidates = (
+                self.make_gateway_candidate(gateway, engine, tokens) for engine in self.engines
+            )
+        found = pick_upstream(candidates, zone, self.random, spread=spread)
         assert found is not None
         return found.instance.id
 
-    def judge(self, gateway: int, engine: Instance, tokens: int) -> Candidate:
-        nothing = Load(engine.id)
-        own = self.own[gateway].get(engine.id, nothing)
-        return _judge(engine, tokens, own.add(self.seen[gateway].get(engine.id, nothing)))
+    def make_gateway_candidate(self, gateway: int, engine: Instance, tokens: int) -> Candidate:
+        no_load = Load(engine.id)
+        own = self.own[gateway].get(engine.id, no_load)
+        return _make_candidate(
+            engine, tokens, own.add(self.others[gateway].get(engine.id, no_load))
+        )
 
-    def judge_booked(self, engine: Instance, tokens: int) -> Candidate:
-        return _judge(engine, tokens, self.booked.get(engine.id, Load(engine.id)))
+    def make_placer_candidate(self, engine: Instance, tokens: int) -> Candidate:
+        return _make_candidate(engine, tokens, self.placed.get(engine.id, Load(engine.id)))
 
     def sum_others(self, gateway: int) -> dict[str, Load]:
         found: dict[str, Load] = {}
@@ -153,115 +166,118 @@
         return found
 
 
-def _judge(engine: Instance, tokens: int, load: Load) -> Candidate:
-    """Return an engine with some work there as a candidate for one more prompt."""
+def _make_candidate(engine: Instance, tokens: int, load: Load) -> Candidate:
+    """Return an engine with its present load as a candidate for one more prompt."""
     expected = Load(engine.id, 1, tokens).add(load)
-    return Candidate(engine, estimate_load(expected, SLOTS, MEMORY_TOKENS))
+    return Candidate(engine, estimate_load(expected, ENGINE_SLOTS, ENGINE_MEMORY_TOKENS))
 
 
-def play(case: PlacingCase, seed: int) -> PlacingResult:
-    """Return what callers got of one case.
+def simulate(case: PlacingCase, seed: int) -> PlacingResult:
+    """Run one case and return the times to the first token.
 
-    :param case: the load and the site.
-    :param seed: fixes arrivals and lengths.
+    :param case: the workload and the site.
+    :param seed: determines arrivals and lengths.
     """
-    world = _make_world(case, Random(seed))
-    # A number keeps events of one time in their order.
+    simulation = _make_simulation(case, Random(seed))
+    # The number keeps events with equal times in the order in which they were added.
     numbers = count()
-    events = [(at, next(numbers), act) for at, act in _list_arrivals(world)]
+    events = [(at, next(numbers), handler) for at, handler in _list_initial_events(simulation)]
     heapq.heapify(events)
     while events:
-        now, _, act = heapq.heappop(events)
-        for delay, following in act(now):
-            if now + delay < case.seconds:
+        now, _, handler = heapq.heappop(events)
+        for delay, following in handler(now):
+            if now + delay < case.duration_seconds:
                 heapq.heappush(events, (now + delay, next(numbers), following))
-    waits = sorted(wait for wait, _ in world.waits)
-    late = sum(is_late for _, is_late in world.waits) / len(waits)
+    waits = sorted(wait for wait, _ in simulation.waits)
+    late = sum(is_late for _, is_late in simulation.waits) / len(waits)
     return PlacingResult(late, sum(waits) / len(waits), waits[int(0.99 * len(waits))])
 
 
-def _make_world(case: PlacingCase, random: Random) -> _World:
+def _make_simulation(case: PlacingCase, random: Random) -> _Simulation:
     engines = [
-        Instance(f"engine-{n}", "s", f"{n}", f"zone-{n % 3}", SLOTS, InstanceState.READY, 1)
+        Instance(f"engine-{n}", "s", f"{n}", f"zone-{n % 3}", ENGINE_SLOTS, InstanceState.READY, 1)
         for n in range(case.engines)
     ]
     own: list[dict[str, Load]] = [{} for _ in range(case.gateways)]
-    seen: list[dict[str, Load]] = [{} for _ in range(case.gateways)]
-    return _World(case, random, engines, own, seen, {engine.id: 0.0 for engine in engines})
+    others: list[dict[str, Load]] = [{} for _ in range(case.gateways)]
+    return _Simulation(case, random, engines, own, others, {engine.id: 0.0 for engine in engines})
 
 
-def _list_arrivals(world: _World) -> Iterator[tuple[float, Act]]:
-    case = world.case
+def _list_initial_events(simulation: _Simulation) -> Iterator[tuple[float, EventHandler]]:
+    case = simulation.case
     for gateway in range(case.gateways):
-        yield world.random.random() * case.interval, _make_exchange(world, gateway)
-    at = world.random.expovariate(case.rate)
-    while at < case.seconds:
-        yield at, _make_arrival(world)
-        at += world.random.expovariate(case.rate)
+        yield (
+            simulation.random.random() * case.exchange_seconds,
+            _make_exchange(simulation, gateway),
+        )
+    at = simulation.random.expovariate(case.prompts_per_second)
+    while at < case.duration_seconds:
+        yield at, _make_arrival(simulation)
+        at += simulation.random.expovariate(case.prompts_per_second)
 
 
-def _make_exchange(world: _World, gateway: int) -> Act:
+def _make_exchange(simulation: _Simulation, gateway: int) -> EventHandler:
     def exchange(now: float) -> Iterator[tuple[float, Any]]:
-        others = world.sum_others(gateway)
+        others = simulation.sum_others(gateway)
 
-        def hear(now: float) -> Iterator[tuple[float, Any]]:
-            world.seen[gateway] = others
+        def receive(now: float) -> Iterator[tuple[float, Any]]:
+            simulation.others[gateway] = others
             return iter(())
 
-        yield TELL_SECONDS, hear
-        yield TELL_SECONDS + world.case.interval, exchange
+        yield EXCHANGE_DELAY_SECONDS, receive
+        yield EXCHANGE_DELAY_SECONDS + simulation.case.exchange_seconds, exchange
 
     return exchange
 
 
-def _make_arrival(world: _World) -> Act:
+def _make_arrival(simulation: _Simulation) -> EventHandler:
     def arrive(now: float) -> Iterator[tuple[float, Any]]:
-        random = world.random
+        random = simulation.random
         kind = LONG if random.random() < LONG.share else SHORT
-        gateway = random.randrange(world.case.gateways)
+        gateway = random.randrange(simulation.case.gateways)
         prompt = int(draw(random, *kind.tokens))
         output = int(draw(random, *kind.output))
         tokens = prompt + int(kind.output[0])
-        engine = world.choose(gateway, kind, prompt)
-        world.add(gateway, Load(engine, 1, tokens, prompt))
-        world.book(Load(engine, 1, tokens, prompt))
-        begun = max(now, world.free[engine])
-        world.free[engine] = begun + prompt / READ_TOKENS_SECOND
-        wait = world.free[engine] - now
-        world.waits.append((wait, wait > kind.objective))
-        yield wait, _make_change(world, gateway, Load(engine, 0, 0, -prompt))
-        ended = wait + output * TOKEN_SECONDS
-        yield ended, _make_change(world, gateway, Load(engine, -1, -tokens))
+        engine = simulation.choose_engine(gateway, kind, prompt)
+        simulation.add_own(gateway, Load(engine, 1, tokens, prompt))
+        simulation.add_placed(Load(engine, 1, tokens, prompt))
+        begins_at = max(now, simulation.prefill_free_at[engine])
+        simulation.prefill_free_at[engine] = begins_at + prompt / PREFILL_TOKENS_PER_SECOND
+        wait = simulation.prefill_free_at[engine] - now
+        simulation.waits.append((wait, wait > kind.objective))
+        yield wait, _make_load_change(simulation, gateway, Load(engine, 0, 0, -prompt))
+        duration = wait + output * DECODE_SECONDS_PER_TOKEN
+        yield duration, _make_load_change(simulation, gateway, Load(engine, -1, -tokens))
 
     return arrive
 
 
-def _make_change(world: _World, gateway: int, load: Load) -> Act:
+def _make_load_change(simulation: _Simulation, gateway: int, load: Load) -> EventHandler:
     def change(now: float) -> Iterator[tuple[float, Any]]:
-        world.add(gateway, load)
+        simulation.add_own(gateway, load)
 
-        def hear(now: float) -> Iterator[tuple[float, Any]]:
-            world.book(load)
+        def receive(now: float) -> Iterator[tuple[float, Any]]:
+            simulation.add_placed(load)
             return iter(())
 
-        yield CHANGE_SECONDS, hear
+        yield PLACER_DELAY_SECONDS, receive
 
     return change
 
 
 def draw(random: Random, mean: float, spread: float) -> float:
-    """Return a length of a log-normal distribution, bounded as prompts are.
+    """Draw a length in tokens from a log-normal distribution, truncated at a maximum.
 
-    :param random: draws it.
-    :param mean: its mean in tokens.
+    :param random: source of randomness.
+    :param mean: mean of the distribution before truncation, in tokens.
     :param spread: its standard deviation over its mean.
     """
     sigma = math.sqrt(math.log(1 + spread * spread))
-    return min(_MOST_TOKENS, mean * math.exp(random.gauss(-sigma * sigma / 2, sigma)))
+    return min(_MAX_LENGTH_TOKENS, mean * math.exp(random.gauss(-sigma * sigma / 2, sigma)))
 
 
 def format_cases(cases: Iterable[PlacingCase], seeds: int, seconds: float) -> Iterator[str]:
-    """Yield a table of cases, each without and with orders of the gateways' own.
+    """Yield a table of cases, each without and with the gateways' own orders of engines.
 
     :param cases: the cases.
     :param seeds: runs of each, of which the means are shown.
@@ -270,9 +286,12 @@
     yield "gateways  engines  rate  order    late  mean s   p99 s"
     for case in cases:
         for spread in (False, True):
-            played = replace(case, spread=spread, seconds=seconds)
-            found = [play(played, seed) for seed in range(seeds)]
-            late, wait, p99 = (mean(getattr(r, n) for r in found) for n in ("late", "mean", "p99"))
+            variant = replace(case, spread=spread, duration_seconds=seconds)
+            results = [simulate(variant, seed) for seed in range(seeds)]
+            late, wait, p99 = (
+                mean(getattr(result, name) for result in results)
+                for name in ("late_share", "mean_seconds", "p99_seconds")
+            )
             order = "own" if spread else "none"
-            site = f"{case.gateways:>8}{case.engines:>9}{case.rate:>6.1f}{order:>7}"
+            site = f"{case.gateways:>8}{case.engines:>9}{case.prompts_per_second:>6.1f}{order:>7}"
             yield f"{site}{late:>8.4f}{wait:>8.3f}{p99:>8.2f}"
