--- a/src/daleroad/loads.py
+++ b/src/daleroad/loads.py
@@ -1,7 +1,7 @@
-"""The work of all gateways at each upstream, as they tell it or as it was booked for them. Pure.
+"""Load by upstream: totals over all gateways at a coordinator, and one gateway's view. Pure.
 
-A coordinator is asked for it by every gateway every second, so the totals are kept: adding them up
-anew for each of 200 gateways took 0.3 ms an answer.
+Totals are maintained incrementally, since every gateway requests them every second and recomputing
+them for each of 200 gateways took 0.3 ms an answer.
 """
 
 from collections.abc import Iterable
@@ -14,86 +14,92 @@
 
 
 @dataclass(frozen=True)
-class _Told:
+class _LoadReport:
     loads: tuple[Load, ...]
-    at: float
+    received_at: float
 
 
 @dataclass
 class LoadTotals:
-    """What gateways said of their work, and its total.
+    """The last load report of each gateway, and the totals.
 
-    :param kept: seconds for which a gateway's word counts.
+    :param max_age_seconds: how long a gateway's report counts.
     """
 
-    kept: float
-    _told: dict[str, _Told] = field(default_factory=dict)
+    max_age_seconds: float
+    _reports: dict[str, _LoadReport] = field(default_factory=dict)
     _totals: dict[str, Load] = field(default_factory=dict)
 
     def note(self, gateway: str, loads: tuple[Load, ...], now: float) -> None:
-        """Take in what a gateway says in place of what it said before.
+        """Replace a gateway's load report.
 
         :param gateway: its address.
-        :param loads: its work.
+        :param loads: its load on each upstream.
         :param now: the time.
         """
-        self._forget(gateway)
-        self._told[gateway] = _Told(loads, now)
-        self._add(loads)
+        self._remove(gateway)
+        self._reports[gateway] = _LoadReport(loads, now)
+        self._add_to_totals(loads)
 
     def book(self, gateway: str, load: Load, now: float) -> None:
-        """Add work that a gateway is about to begin; what it says next has it too.
+        """Add load that a gateway is about to create, until its next report replaces it.
 
         :param gateway: its address.
-        :param load: the work.
+        :param load: the added load.
         :param now: the time.
         """
-        known = {told.instance: told for told in self._list_told(gateway)}
+        known = {reported.instance: reported for reported in self._get_reported(gateway)}
         before = known.get(load.instance)
         known[load.instance] = before.add(load) if before is not None else load
         self.note(gateway, tuple(known.values()), now)
 
     def get_total(self, instance_id: str) -> Load:
-        """Return the work of all gateways at an instance.
+        """Return the load of all gateways on an instance.
 
         :param instance_id: the instance.
         """
         return self._totals.get(instance_id) or Load(instance_id)
 
     def count_gateways(self) -> int:
-        """Return how many gateways said something of late."""
-        return len(self._told)
+        """Return the number of gateways with a load report."""
+        return len(self._reports)
 
     def prune(self, now: float) -> None:
-        """Forget gateways that said nothing for long.
+        """Remove the reports that are too old.
 
         :param now: the time.
         """
-        old = [gateway for gateway, told in self._told.items() if now - told.at > self.kept]
-        for gateway in old:
-            self._forget(gateway)
+        expired = [
+            gateway
+            for gateway, report in self._reports.items()
+            if now - report.received_at > self.max_age_seconds
+        ]
+        for gateway in expired:
+            self._remove(gateway)
 
     def sum_others(self, gateway: str) -> list[Load]:
-        """Return the work of all gateways but one.
+        """Return the load on each instance of all gateways but one.
 
-        :param gateway: the one that is left out.
+        :param gateway: the gateway that is left out.
         """
-        own = {load.instance: load for load in self._list_told(gateway)}
-        rest = (
+        own = {load.instance: load for load in self._get_reported(gateway)}
+        others = (
             total.subtract(own[name]) if name in own else total
             for name, total in self._totals.items()
         )
-        return [load for load in rest if not load.is_empty()]
+        return [load for load in others if not load.is_empty()]
 
-    def _list_told(self, gateway: str) -> tuple[Load, ...]:
-        told = self._told.get(gateway)
-        return told.loads if told is not None else ()
+    def _get_reported(self, gateway: str) -> tuple[Load, ...]:
+        report = self._reports.get(gateway)
+        return report.loads if report is not None else ()
 
-    def _forget(self, gateway: str) -> None:
-        self._add(Load(load.instance).subtract(load) for load in self._list_told(gateway))
-        self._told.pop(gateway, None)
+    def _remove(self, gateway: str) -> None:
+        self._add_to_totals(
+            Load(load.instance).subtract(load) for load in self._get_reported(gateway)
+        )
+        self._reports.pop(gateway, None)
 
-    def _add(self, loads: Iterable[Load]) -> None:
+    def _add_to_totals(self, loads: Iterable[Load]) -> None:
         for load in loads:
             known = self._totals.get(load.instance)
             total = known.add(load) if known is not None else load
@@ -104,9 +110,9 @@
 
 
 class GatewayLoads:
-    """The work of one gateway at each upstream, and what it was told of the others'.
+    """The load of one gateway on each upstream, and the last known load of the others.
 
-    :ivar changed: set when this gateway's memory or unread prompts somewhere changed.
+    :ivar changed: set when this gateway's memory tokens or unread prompt tokens change.
     """
 
     def __init__(self) -> None:
@@ -115,39 +121,39 @@
         self._others: dict[str, Load] = {}
 
     def add(self, instance: Instance, runs: int, tokens: int, unread: int = 0) -> None:
-        """Note work that begins at an instance, or with negative figures that it ended.
+        """Add load on an instance; negative numbers remove it.
 
         :param instance: the instance.
-        :param runs: requests; 0 for the backup of a run elsewhere.
-        :param tokens: tokens of memory that it may take.
-        :param unread: prompt tokens that it has yet to read before it answers.
+        :param runs: number of requests; 0 for the backup copy of a run on another instance.
+        :param tokens: tokens of memory that they may take.
+        :param unread: prompt tokens of those that have not begun to answer.
         """
-        fresh = Load(instance.id, runs, tokens, unread)
+        load = Load(instance.id, runs, tokens, unread)
         known = self._own.get(instance.id)
-        fresh = known.add(fresh) if known else fresh
-        if fresh.runs or fresh.tokens or fresh.unread:
-            self._own[instance.id] = fresh
+        load = known.add(load) if known else load
+        if load.runs or load.tokens or load.unread:
+            self._own[instance.id] = load
         else:
             self._own.pop(instance.id, None)
         if tokens or unread:
             self.changed.set()
 
     def list_own(self) -> tuple[Load, ...]:
-        """Return this gateway's own work at each instance."""
+        """Return this gateway's own load on each instance."""
         return tuple(self._own.values())
 
     def replace_others(self, loads: tuple[Load, ...]) -> None:
-        """Take in the work of the other gateways.
+        """Replace the load of the other gateways.
 
-        :param loads: their work at each instance.
+        :param loads: their load on each instance.
         """
         self._others = {load.instance: load for load in loads}
 
     def get_total(self, instance_id: str) -> Load:
-        """Return the work of all gateways at an instance.
+        """Return the last known load of all gateways on an instance.
 
         :param instance_id: the instance.
         """
-        nothing = Load(instance_id)
-        own = self._own.get(instance_id, nothing)
-        return own.add(self._others.get(instance_id, nothing))
+        no_load = Load(instance_id)
+        own = self._own.get(instance_id, no_load)
+        return own.add(self._others.get(instance_id, no_load))
--- a/src/daleroad/placeclient.py
+++ b/src/daleroad/placeclient.py
@@ -1,6 +1,6 @@
-"""A gateway's way to the process that chooses engines for all gateways.
+"""A gateway's client of the central placer, which runs on the leading coordinator.
 
-Where that doesn't answer at once the gateway chooses by itself, by what it was told.
+When the placer does not answer in time, the gateway chooses by the loads that it last received.
 """
 
 from collections.abc import Callable
@@ -23,11 +23,11 @@
 
 
 class PlaceClient:
-    """Asks for engines, and tells of work that began or ended.
+    """Requests placements from the leading coordinator, and reports load changes to it.
 
     :param gateway: the gateway.
-    :param calls: connections to the coordinators.
-    :param get_leader: returns the leading coordinator, if one is heard.
+    :param calls: sends requests to the coordinators.
+    :param get_leader: returns the address of the leading coordinator, if one is known.
     """
 
     def __init__(
@@ -37,12 +37,14 @@
         self._calls = calls
         self._get_leader = get_leader
         self._failed_at = float("-inf")
-        self._failing = False
+        self._is_failing = False
 
-    async def ask(self, asked: PlaceRequest) -> PlaceAnswer | None:
-        """Return the leading coordinator's answer, or nothing where the gateway must choose.
+    async def ask(self, request: PlaceRequest) -> PlaceAnswer | None:
+        """Return the leading coordinator's answer, or ``None`` if the gateway must choose itself.
 
-        :param asked: the question.
+        After a failure the coordinator is not asked again for ``PLACE_PAUSE_SECONDS``.
+
+        :param request: the request.
         """
         leader = self._get_leader()
         now = anyio.current_time()
@@ -51,30 +53,30 @@
         url = f"{make_url(leader)}/site/place"
         answer = None
         with anyio.move_on_after(PLACE_SECONDS):
-            answer = await self._calls.call(url, encode(asked), PlaceAnswer, PLACE_SECONDS)
+            answer = await self._calls.call(url, encode(request), PlaceAnswer, PLACE_SECONDS)
         if isinstance(answer, PlaceAnswer):
-            self._note_failing(False, leader, "")
+            self._set_failing(False, leader, "")
             return answer
         self._failed_at = now
-        reason = answer.reason if isinstance(answer, Failure) else "no answer in time"
-        self._note_failing(True, leader, reason)
+        reason = answer.reason if isinstance(answer, Failure) else "the request timed out"
+        self._set_failing(True, leader, reason)
         return None
 
     async def ask_trial(self, fingerprint: str) -> bool:
-        """Return whether this gateway, alone of all, may try a request that was held for long.
+        """Return whether this gateway may try a long-held request; only one gateway may at a time.
 
-        :param fingerprint: the request.
+        :param fingerprint: fingerprint of the request.
         """
         leader = self._get_leader()
         if leader is None:
             return False
         url = f"{make_url(leader)}/site/trial"
-        asked = encode(TrialRequest(fingerprint))
-        answer = await self._calls.call(url, asked, TrialAnswer, PLACE_SECONDS)
+        body = encode(TrialRequest(fingerprint))
+        answer = await self._calls.call(url, body, TrialAnswer, PLACE_SECONDS)
         return isinstance(answer, TrialAnswer) and answer.granted
 
     async def run(self) -> None:
-        """Tell of work that began or ended soon after it did, until cancelled."""
+        """Report load changes to the leading coordinator in short batches, until cancelled."""
         gateway = self._gateway
         while True:
             await gateway.loads.changed.wait()
@@ -83,13 +85,13 @@
             leader = self._get_leader()
             if leader is None:
                 continue
-            told = LoadsRequest(gateway.options.address, gateway.loads.list_own())
+            request = LoadsRequest(gateway.options.address, gateway.loads.list_own())
             url = f"{make_url(leader)}/site/loads"
-            # What is lost is told again with the next question of the watch.
-            await self._calls.call(url, encode(told), type(None), PLACE_PAUSE_SECONDS)
+            # A lost report needs no retry: each watch request carries all loads.
+            await self._calls.call(url, encode(request), type(None), PLACE_PAUSE_SECONDS)
 
-    def _note_failing(self, failing: bool, leader: str, reason: str) -> None:
-        if failing != self._failing:
+    def _set_failing(self, failing: bool, leader: str, reason: str) -> None:
+        if failing != self._is_failing:
             event = Event.PLACING_LOST if failing else Event.PLACING_REGAINED
             log_event(event, name=leader, reason=reason)
-        self._failing = failing
+        self._is_failing = failing
--- a/src/daleroad/placement.py
+++ b/src/daleroad/placement.py
@@ -1,4 +1,4 @@
-"""Which upstreams to try for a request, in order. Pure."""
+"""Ranks upstreams by prefix affinity with bounded loads, or by load. Pure."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -6,8 +6,11 @@
 from daleroad.directory import get_weight
 from daleroad.records import Upstream
 
-_BOUND = 1.25
-_FREE = 0.3
+_MAX_LOAD_RATIO = 1.25
+"""Largest load at which an upstream is preferred for its prefix, over the mean of all."""
+
+_MIN_LOAD_BOUND = 0.3
+"""Lower limit of that bound, so that a small load never counts against the preferred upstream."""
 
 
 def rank_candidates(
@@ -16,16 +19,16 @@
     get_load: Callable[[str], float],
     random: Random,
 ) -> list[Upstream]:
-    """Return upstreams, best first.
+    """Return the upstreams in the order in which to try them.
 
-    With a prefix, the upstream that the prefix hashes to goes first while its load stays within
-    a bound over the average; the others follow by load. Without one, two are drawn at random
-    and the less loaded goes first.
+    With a prefix, the first upstream in the prefix's rendezvous order whose load is within the
+    bound goes first, and the others follow by load. Without one, two are drawn at random and both
+    go first, the less loaded one ahead.
 
     :param upstreams: the candidates.
-    :param prefix: hash of the prompt's prefix, or empty.
-    :param get_load: last known load of an upstream, from 0 to about 1.
-    :param random: source of choices between equals.
+    :param prefix: key of the prompt's prefix, or empty.
+    :param get_load: returns the last known load of an upstream, from 0 to about 1.
+    :param random: source of randomness.
     """
     choices = list(upstreams)
     if len(choices) < 2:
@@ -33,11 +36,11 @@
     random.shuffle(choices)
     loads = {upstream.name: get_load(upstream.name) for upstream in choices}
     if prefix:
-        bound = max(_FREE, _BOUND * sum(loads.values()) / len(loads))
+        bound = max(_MIN_LOAD_BOUND, _MAX_LOAD_RATIO * sum(loads.values()) / len(loads))
         choices.sort(key=lambda u: -get_weight(prefix, u.name))
-        within = [u for u in choices if loads[u.name] <= bound]
-        if within:
-            first = within[0]
+        eligible = [u for u in choices if loads[u.name] <= bound]
+        if eligible:
+            first = eligible[0]
             rest = sorted((u for u in choices if u is not first), key=lambda u: loads[u.name])
             return [first, *rest]
     pair = sorted(choices[:2], key=lambda u: loads[u.name])
--- a/src/daleroad/placer.py
+++ b/src/daleroad/placer.py
@@ -1,10 +1,9 @@
-"""Chooses engines for the prompts of all gateways, at the leading coordinator. Pure.
+"""Central placement of all gateways' prompts, run by the leading coordinator. Pure.
 
-Of many gateways none sees enough prompts to choose well alone: of 200 before 31 engines and 28
-prompts a second each sees one in seven seconds, and hears of the others' a second late. The one
-process that chooses for all books each prompt as it names its engine. In virtual time 5.4 in 100
-first tokens come late when each gateway chooses by what it was told, and none in 1,400 when one
-process chooses; the mean time to the first token is 0.65 and 0.37 s (``daleroad placing``).
+A gateway of many sees too few prompts to place them well: with 200 gateways, 31 engines and 28
+prompts a second it sees one in seven seconds, and it learns of the others' a second late. The
+placer records each prompt as it names the engine, so the next choice takes it into account.
+``tests/test_placing.py`` compares both in simulation.
 """
 
 from collections.abc import Container, Iterator
@@ -22,20 +21,20 @@
 
 
 class Placer:
-    """Names an engine for each prompt.
+    """Chooses an upstream for each request.
 
-    :param fleet: the engines that are alive.
-    :param loads: the work of all gateways there.
-    :param heartbeat: interval of the engines' heartbeats in seconds.
-    :param random: source of choices between equals.
-    :param limits: counts what goes to upstreams that bear only so much.
+    :param fleet: the live upstreams.
+    :param loads: the load that all gateways put on them.
+    :param heartbeat_seconds: interval of the upstreams' heartbeats.
+    :param random: source of randomness.
+    :param limits: grants requests to rate-limited upstreams.
     """
 
     def __init__(
         self,
         fleet: Fleet,
         loads: LoadTotals,
-        heartbeat: float,
+        heartbeat_seconds: float,
         random: Random,
         limits: SendLimits | None = None,
     ) -> None:
@@ -43,64 +42,66 @@
         self._fleet = fleet
         self._unreached = Unreached(fleet)
         self._loads = loads
-        self._heartbeat = heartbeat
+        self._heartbeat_seconds = heartbeat_seconds
         self._random = random
 
     def place(
         self,
-        asked: PlaceRequest,
+        request: PlaceRequest,
         service: ServiceRule,
         now: float,
-        evacuated: Container[str] = (),
+        evacuated_zones: Container[str] = (),
     ) -> PlaceAnswer:
-        """Name the upstream that a request should go to, if there is one, and book it there.
+        """Choose an upstream for a request and record the load that it adds there.
 
-        :param asked: the gateway's question.
+        :param request: the gateway's placement request.
         :param service: the service that the request is for.
         :param now: the time.
-        :param evacuated: availability zones whose engines get nothing.
+        :param evacuated_zones: availability zones whose upstreams get no requests.
         """
-        self._note_unreached(asked, now)
-        for notice in asked.limits:
+        self._note_unreached(request, now)
+        for notice in request.limits:
             if notice.limit is not None:
                 self._fleet.note_limit(notice.instance, notice.limit, now)
-        failing = frozenset(asked.failing)
+        failing = frozenset(request.failing)
 
         def is_failing(instance_id: str) -> bool:
-            out_of_reach = self._unreached.is_out_of_reach(instance_id, asked.zone, now)
-            return out_of_reach or instance_id in failing
+            unreachable = self._unreached.is_out_of_reach(instance_id, request.zone, now)
+            return unreachable or instance_id in failing
 
-        judge = Judge(self._fleet, self._heartbeat, self._loads.get_total, is_failing, evacuated)
-        candidates = judge.list_candidates(service, asked.tokens, asked.excluded, now)
-        if asked.only:
-            candidates = (c for c in candidates if c.instance.id == asked.only)
-        candidates = self._heed_limits(candidates, service, now)
-        found = pick_upstream(candidates, asked.zone, self._random)
-        if found is None:
+        judge = Judge(
+            self._fleet, self._heartbeat_seconds, self._loads.get_total, is_failing, evacuated_zones
+        )
+        candidates = judge.list_candidates(service, request.tokens, request.excluded, now)
+        if request.only:
+            candidates = (c for c in candidates if c.instance.id == request.only)
+        candidates = self._apply_limits(candidates, service, now)
+        chosen = pick_upstream(candidates, request.zone, self._random)
+        if chosen is None:
             return PlaceAnswer("")
-        if found.crowded and asked.patient:
+        if chosen.crowded and request.patient:
             return PlaceAnswer("", crowded=True)
-        counted = bool(service.cold_rate) or found.limited
-        if counted:
-            self._limits.grant(found.instance.id, now)
-        load = Load(found.instance.id, 1, asked.tokens, asked.unread)
-        self._loads.book(asked.gateway, load, now)
-        return PlaceAnswer(found.instance.id, counted)
+        granted = bool(service.cold_rate) or chosen.limited
+        if granted:
+            self._limits.grant(chosen.instance.id, now)
+        load = Load(chosen.instance.id, 1, request.tokens, request.unread)
+        self._loads.book(request.gateway, load, now)
+        return PlaceAnswer(chosen.instance.id, granted)
 
-    def _note_unreached(self, asked: PlaceRequest, now: float) -> None:
-        """Let all gateways know what one has tried in vain."""
-        if asked.unreached:
+    def _note_unreached(self, request: PlaceRequest, now: float) -> None:
+        """Record the upstreams that a gateway could not reach, for the requests of all gateways."""
+        if request.unreached:
             self._unreached.prune()
-        for instance_id in asked.unreached:
-            self._unreached.note(instance_id, asked.zone, now)
+        for instance_id in request.unreached:
+            self._unreached.note(instance_id, request.zone, now)
 
-    def _heed_limits(
+    def _apply_limits(
         self, candidates: Iterator[Candidate], service: ServiceRule, now: float
     ) -> Iterator[Candidate]:
-        """Leave out upstreams that may get nothing now, since they bear only so much.
+        """Leave out upstreams that may not receive another request now under their limits.
 
-        One that is not known to be cold may have become so since its last heartbeat. Where it has
-        had as much as a cold one may, others are preferred.
+        An upstream may have become cold since its last heartbeat. One that has received as many
+        requests as a cold one may is therefore marked doubtful, so that others are preferred.
         """
         cold = self._limits.rule.make_bound(service.cold_rate)
         for candidate in candidates:
@@ -116,9 +117,9 @@
     def _list_bounds(
         self, candidate: Candidate, service: ServiceRule, cold: Bound
     ) -> Iterator[Bound]:
-        """Yield all bounds on what an upstream may get."""
+        """Yield all bounds on the requests that an upstream may receive."""
         if candidate.cold and service.cold_rate:
             yield cold
-        rate = self._fleet.get_rate_limit(candidate.instance.id)
-        if rate is not None:
-            yield from make_limit_bounds(rate)
+        rate_limit = self._fleet.get_rate_limit(candidate.instance.id)
+        if rate_limit is not None:
+            yield from make_limit_bounds(rate_limit)
