--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of the totals of what gateways say of their work."""
+"""Tests of the incrementally maintained totals of load reports."""
 
 import unittest
 from random import Random
@@ -6,13 +6,13 @@
 from daleroad.loads import LoadTotals
 from daleroad.notices import Load
 
-KEPT = 1.3
+MAX_AGE_SECONDS = 1.3
 
 
 class LoadTotalsTest(unittest.TestCase):
-    def test_totals_are_those_of_adding_all_up_anew(self) -> None:
+    def test_totals_match_recomputed_ones(self) -> None:
         for seed in range(50):
-            random, totals, told = Random(seed), LoadTotals(KEPT), {}
+            random, totals, reports = Random(seed), LoadTotals(MAX_AGE_SECONDS), {}
             for step in range(80):
                 now = step * 0.1
                 gateway = f"g{random.randrange(6)}"
@@ -22,29 +22,29 @@
                 )
                 totals.note(gateway, loads, now)
                 totals.prune(now)
-                told[gateway] = (loads, now)
-                asker = f"g{random.randrange(6)}"
+                reports[gateway] = (loads, now)
+                requester = f"g{random.randrange(6)}"
                 self.assertEqual(
-                    {load.instance: load for load in totals.sum_others(asker)},
-                    add_up(told, asker, now),
+                    {load.instance: load for load in totals.sum_others(requester)},
+                    compute_others(reports, requester, now),
                 )
 
-    def test_a_gateway_that_says_nothing_for_long_is_left_out(self) -> None:
-        totals = LoadTotals(KEPT)
+    def test_expired_report_is_left_out(self) -> None:
+        totals = LoadTotals(MAX_AGE_SECONDS)
         totals.note("a", (Load("i", 1, 100, 10),), 10.0)
         totals.note("b", (Load("i", 2, 200, 20),), 11.0)
         self.assertEqual(totals.sum_others("c"), [Load("i", 3, 300, 30)])
-        totals.prune(10.0 + KEPT + 0.1)
+        totals.prune(10.0 + MAX_AGE_SECONDS + 0.1)
         self.assertEqual(totals.sum_others("c"), [Load("i", 2, 200, 20)])
         self.assertEqual(totals.sum_others("b"), [])
 
 
-def add_up(
-    told: dict[str, tuple[tuple[Load, ...], float]], asker: str, now: float
+def compute_others(
+    reports: dict[str, tuple[tuple[Load, ...], float]], requester: str, now: float
 ) -> dict[str, Load]:
     found: dict[str, Load] = {}
-    for gateway, (loads, at) in told.items():
-        if gateway == asker or now - at > KEPT:
+    for gateway, (loads, received_at) in reports.items():
+        if gateway == requester or now - received_at > MAX_AGE_SECONDS:
             continue
         for load in loads:
             known = found.get(load.instance)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Tests of the process that names engines for the prompts of all gateways, and of its clients."""
+"""Tests of the central placer and of its client in the gateways."""
 
 import unittest
 from collections import Counter
@@ -28,7 +28,7 @@
 PROMPT = Prompt((("p", 3000),), 3000, 2000)
 
 
-def make_question(
+def make_request(
     gateway: str = "g1", excluded: tuple[str, ...] = (), failing: tuple[str, ...] = ()
 ) -> PlaceRequest:
     return PlaceRequest(gateway, "z", "s", 4000, 3000, excluded, failing)
@@ -41,48 +41,47 @@
         for number in (1, 2, 3):
             self.fleet.note(Sighting(make_instance(number), 0.0), 0.0)
 
-    def place(self, question: PlaceRequest) -> str:
-        return self.placer.place(question, SERVICE, 0.1).instance
+    def place(self, request: PlaceRequest) -> str:
+        return self.placer.place(request, SERVICE, 0.1).instance
 
-    def test_prompts_of_many_gateways_at_once_are_spread_evenly(self) -> None:
-        # Each gateway alone would have chosen without knowing of any other.
-        chosen = Counter(self.place(make_question(f"g{number}")) for number in range(12))
+    def test_simultaneous_prompts_of_many_gateways_are_spread_evenly(self) -> None:
+        chosen = Counter(self.place(make_request(f"g{number}")) for number in range(12))
         self.assertEqual(set(chosen.values()), {4})
 
-    def test_what_was_booked_gives_way_to_the_gateways_own_word(self) -> None:
-        name = self.place(make_question())
+    def test_load_report_replaces_the_load_recorded_at_placement(self) -> None:
+        name = self.place(make_request())
         self.assertEqual(self.loads.get_total(name), Load(name, 1, 4000, 3000))
         self.loads.note("g1", (Load(name, 1, 4000, 0),), 0.2)
         self.assertEqual(self.loads.get_total(name), Load(name, 1, 4000, 0))
         self.loads.note("g1", (), 0.3)
         self.assertEqual(self.loads.get_total(name), Load(name))
 
-    def test_engines_that_are_excluded_leaving_or_failing_are_not_named(self) -> None:
+    def test_excluded_leaving_and_failing_engines_are_not_chosen(self) -> None:
         for _ in range(5):
-            self.assertEqual(self.place(make_question(excluded=("i1", "i2"))), "i3")
-            self.assertEqual(self.place(make_question(failing=("i1", "i3"))), "i2")
+            self.assertEqual(self.place(make_request(excluded=("i1", "i2"))), "i3")
+            self.assertEqual(self.place(make_request(failing=("i1", "i3"))), "i2")
         self.fleet.note(Sighting(make_instance(3, InstanceState.LEAVING), 0.0), 0.1)
-        self.assertEqual(self.place(make_question(excluded=("i1", "i2"))), "")
+        self.assertEqual(self.place(make_request(excluded=("i1", "i2"))), "")
 
 
 class FakeCalls:
-    """Answers calls as a test says, and notes what was asked."""
+    """Answers every call with a given function, and records the calls."""
 
     token = "t"
 
     def __init__(self, answer: Callable[[], Awaitable[Any]]) -> None:
         self.answer = answer
-        self.asked: list[tuple[str, bytes]] = []
+        self.sent: list[tuple[str, bytes]] = []
 
     async def call(
         self, url: str, body: bytes, shape: Any, read_seconds: float | None = None
     ) -> Any:
-        self.asked.append((url, body))
+        self.sent.append((url, body))
         return await self.answer()
 
 
 class PlaceClientTest(unittest.TestCase):
-    def play(self, body: Callable[[Gateway], Awaitable[None]]) -> None:
+    def run_with_gateway(self, body: Callable[[Gateway], Awaitable[None]]) -> None:
         async def main() -> None:
             config = make_config(Repeat.STREAM, engine=True)
             gateway = make_gateway(FakeDispatcher(), config, anyio.current_time())
@@ -92,28 +91,26 @@
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def connect(self, gateway: Gateway, answer: Any, leader: str | None = "l:1") -> FakeCalls:
-        async def give() -> Any:
+        async def respond() -> Any:
             return await answer() if callable(answer) else answer
 
-        calls = FakeCalls(give)
+        calls = FakeCalls(respond)
         gateway.chooser.ask_place = PlaceClient(gateway, calls, lambda: leader).ask
         return calls
 
-    def test_the_engine_that_is_named_gets_the_prompt(self) -> None:
+    def test_prompt_goes_to_the_engine_that_the_placer_chose(self) -> None:
         async def body(gateway: Gateway) -> None:
             calls = self.connect(gateway, PlaceAnswer("i3"))
             for _ in range(5):
                 found = await gateway.chooser.place(SERVICE, 4000, ("i1",), PROMPT)
                 assert found is not None
                 self.assertEqual(found.id, "i3")
-            asked = decode(PlaceRequest, calls.asked[0][1])
-            self.assertEqual((asked.excluded, asked.unread), (("i1",), 3000))
+            request = decode(PlaceRequest, calls.sent[0][1])
+            self.assertEqual((request.excluded, request.unread), (("i1",), 3000))
 
-        self.play(body)
+        self.run_with_gateway(body)
 
-    def test_without_an_answer_in_time_the_gateway_chooses_and_does_not_ask_for_a_while(
-        self,
-    ) -> None:
+    def test_gateway_chooses_itself_after_a_failure_and_pauses_before_asking_again(self) -> None:
         async def body(gateway: Gateway) -> None:
             for answer in (
                 Failure(FailureKind.NOT_LEADER, "another"),
@@ -121,50 +118,50 @@
             ):
                 calls = self.connect(gateway, answer)
                 for _ in range(3):
-                    began = anyio.current_time()
+                    asked_at = anyio.current_time()
                     self.assertIsNotNone(await gateway.chooser.place(SERVICE, 4000, (), PROMPT))
-                    self.assertLess(anyio.current_time() - began, PLACE_SECONDS + 0.001)
-                self.assertEqual(len(calls.asked), 1)
+                    self.assertLess(anyio.current_time() - asked_at, PLACE_SECONDS + 0.001)
+                self.assertEqual(len(calls.sent), 1)
                 await anyio.sleep(PLACE_PAUSE_SECONDS)
                 await gateway.chooser.place(SERVICE, 4000, (), PROMPT)
-                self.assertEqual(len(calls.asked), 2)
+                self.assertEqual(len(calls.sent), 2)
 
-        self.play(body)
+        self.run_with_gateway(body)
 
-    def test_an_engine_that_left_or_was_tried_or_is_unknown_is_not_used(self) -> None:
+    def test_leaving_tried_or_unknown_engine_in_an_answer_is_not_used(self) -> None:
         async def body(gateway: Gateway) -> None:
             leaving = Sighting(make_instance(3, InstanceState.LEAVING), 0.0)
             gateway.fleet.note(leaving, anyio.current_time())
-            for named in ("i3", "i1", "i9", ""):
-                self.connect(gateway, PlaceAnswer(named))
+            for chosen in ("i3", "i1", "i9", ""):
+                self.connect(gateway, PlaceAnswer(chosen))
                 found = await gateway.chooser.place(SERVICE, 4000, ("i1",), PROMPT)
                 assert found is not None
                 self.assertEqual(found.id, "i2")
 
-        self.play(body)
+        self.run_with_gateway(body)
 
-    def test_plain_services_and_lone_gateways_ask_nobody(self) -> None:
+    def test_plain_services_and_single_gateways_do_not_ask_the_placer(self) -> None:
         async def body(gateway: Gateway) -> None:
             calls = self.connect(gateway, PlaceAnswer("i3"))
             plain = ServiceRule("s", "/", 100, None)
             await gateway.chooser.place(plain, 0, (), None)
             gateway.chooser.gateways = 1
             await gateway.chooser.place(SERVICE, 4000, (), PROMPT)
-            self.assertEqual(calls.asked, [])
+            self.assertEqual(calls.sent, [])
 
-        self.play(body)
+        self.run_with_gateway(body)
 
-    def test_work_that_begins_or_ends_is_told_at_once_and_together(self) -> None:
+    def test_load_changes_are_reported_promptly_and_in_batches(self) -> None:
         async def body(gateway: Gateway) -> None:
-            async def nothing() -> None:
+            async def respond() -> None:
                 return None
 
-            calls = FakeCalls(nothing)
+            calls = FakeCalls(respond)
             client = PlaceClient(gateway, calls, lambda: "l:1")
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(client.run)
                 await anyio.sleep(1.0)
-                self.assertEqual(calls.asked, [])
+                self.assertEqual(calls.sent, [])
                 instance = make_instance(1)
                 gateway.loads.add(instance, 1, 4000, 3000)
                 gateway.loads.add(instance, 1, 4000, 3000)
@@ -172,7 +169,7 @@
                 gateway.loads.add(instance, 0, 0, -3000)
                 await anyio.sleep(0.1)
                 tasks.cancel_scope.cancel()
-            told = [decode(LoadsRequest, body).loads for _, body in calls.asked]
-            self.assertEqual(told, [(Load("i1", 2, 8000, 6000),), (Load("i1", 2, 8000, 3000),)])
+            reported = [decode(LoadsRequest, body).loads for _, body in calls.sent]
+            self.assertEqual(reported, [(Load("i1", 2, 8000, 6000),), (Load("i1", 2, 8000, 3000),)])
 
-        self.play(body)
+        self.run_with_gateway(body)
