--- a/src/daleroad/dispatch.py
+++ b/src/daleroad/dispatch.py
@@ -1,6 +1,7 @@
-"""What a gateway asks of an upstream and what comes back, without a word on the wire.
+"""Transport-independent requests from a gateway to its upstreams, and the replies to them.
 
-A client of upstreams implements :class:`Dispatcher`; the product decides, it only carries out.
+A client for upstreams implements :class:`Dispatcher`. It only carries out what the gateway has
+decided: which instance gets a request, with which deadline and which priority.
 """
 
 from collections.abc import AsyncIterator
@@ -19,11 +20,11 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """How a request describes its prompt.
+    """Size and composition of a prompt, as the request states them.
 
-    :param parts: the prompt's parts in order, as id and tokens; other requests share the first.
-    :param tokens: tokens of the whole prompt.
-    :param most_output: tokens of output at most.
+    :param parts: id and token count of each part, in order; requests may share leading parts.
+    :param tokens: token count of the whole prompt.
+    :param most_output: maximum number of output tokens.
     """
 
     parts: tuple[tuple[str, int], ...]
@@ -31,26 +32,26 @@
     most_output: int
 
     def ends_soon(self) -> bool:
-        """Return whether the generation is over before an engine that leaves has ended."""
+        """Return whether the generation should end before an engine that is leaving stops."""
         return self.guess_seconds() < MOVE_WORTH_SECONDS
 
     def guess_seconds(self) -> float:
-        """Return how long the longest output takes on a half-full engine."""
+        """Estimate the seconds that the maximum output takes on a half-full engine."""
         return self.most_output * TOKEN_SECONDS
 
 
 @dataclass(frozen=True)
 class Job:
-    """One request as a client sent it.
-
-    :param id: the client's id of this attempt.
-    :param target: path and query, untouched.
-    :param path: the path alone.
-    :param headers: those that concern the upstream, in order.
-    :param key: the client's key, or empty.
-    :param received_at: when its head was read.
-    :param deadline: when the client stops waiting; both on the runtime's clock.
-    :param prompt: set where the request describes one.
+    """One request as received from a client. Times are on the event loop's clock.
+
+    :param id: request id that the client chose for this attempt.
+    :param target: path and query, unmodified.
+    :param path: the path without the query.
+    :param headers: the headers to forward to the upstream, in order.
+    :param key: the client's API key, or empty.
+    :param received_at: when the request head was read.
+    :param deadline: when the client stops waiting.
+    :param prompt: description of the prompt, if the request carries one.
     """
 
     id: str
@@ -68,12 +69,11 @@
 
 @dataclass(frozen=True)
 class Source:
-    """Where a generation's memory is, for an engine that goes on with it.
+    """A copy of a generation's memory, from which another engine can continue it.
 
     :param address: IP:PORT of the engine that keeps the copy's handle.
-    :param handle: names the copy.
-    :param silence: seconds for which an upstream that does not answer at all is borne.
-    :param last_event: id of the last event that the client has.
+    :param handle: id of the copy.
+    :param last_event: id of the last event that the client has received.
     """
 
     address: str
@@ -86,14 +86,16 @@
     """One dispatch of a job to one instance.
 
     :param organisation: name of the sender's organisation, or empty.
-    :param seconds: time left for the answer.
-    :param rank: urgency for an engine, or nothing.
-    :param source: set when a generation goes on from a copy.
-    :param backup: an engine that should get a running copy, if any.
-    :param last_event: id of the last event that the client has, when a stream is made anew from
-        there; empty where the client's own word stands.
-    :param own_connection: whether no connection that rested may carry it. A new one shows at once
-        that the upstream can be reached; what is sent on one that died unseen may have run.
+    :param seconds: time left for the response.
+    :param rank: priority for an engine, or none.
+    :param source: the copy to continue from, for a generation that moved.
+    :param backup: an engine that receives copies of the generation while it runs, if any.
+    :param own_connection: whether to open a new connection instead of reusing an idle one. A
+        failure to connect proves that the request did not run; a request sent on an idle
+        connection that had died unnoticed may have run.
+    :param silence: seconds without any response after which the upstream is given up.
+    :param last_event: id of the last event that the client has received, for a stream that is
+        restarted after it; empty to pass on the client's own header.
     """
 
     job: Job
@@ -110,11 +112,11 @@
 
 @dataclass(frozen=True)
 class NotRun:
-    """The request did not run there and never will.
+    """The request did not run on the upstream and never will.
 
-    :param gone: whether the address belongs to another instance now.
-    :param sent: whether any byte reached the upstream.
-    :param held: whether it was held back here; the upstream was not asked.
+    :param gone: whether the address now belongs to another instance.
+    :param sent: whether any byte may have reached the upstream.
+    :param held: whether the gateway held the request back without contacting the upstream.
     """
 
     reason: str
@@ -125,43 +127,43 @@
 
 @dataclass(frozen=True)
 class Lost:
-    """The request may have run; its answer did not arrive whole."""
+    """The request may have run; no complete response arrived."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Whole:
-    """A complete answer of an upstream, proved to be its own."""
+    """A complete response; a successful one carried the upstream's signature."""
 
     status: int
     headers: Headers
     body: bytes
 
     def is_failed(self) -> bool:
-        """Return whether the upstream says that it failed."""
+        """Return whether the status is a server error (5xx)."""
         return self.status >= HTTPStatus.INTERNAL_SERVER_ERROR
 
 
 @dataclass(frozen=True)
 class Piece:
-    """One whole event of a stream; ``event`` is its id, or empty."""
+    """One complete event of a stream; ``event`` is its id, or empty."""
 
     data: bytes
     event: str
 
 
 class Stream(Protocol):
-    """A stream of events that an upstream has begun."""
+    """An event stream that an upstream has started."""
 
     status: int
     headers: Headers
 
     def pieces(self) -> AsyncIterator[Piece | Lost]:
-        """Yield whole events; a cut stream ends with :class:`Lost`, a complete one without."""
+        """Yield complete events, then :class:`Lost` if the stream was interrupted."""
 
     async def close(self) -> None:
-        """Close the connection if the stream is not over."""
+        """Close the connection if the stream has not ended."""
 
 
 Reply = NotRun | Lost | Whole | Stream
@@ -169,10 +171,10 @@
 
 @dataclass(frozen=True)
 class Copied:
-    """A generation's memory is at the other engine.
+    """A generation's memory was copied to the destination engine.
 
-    :param handle: names the copy.
-    :param made: events made so far.
+    :param handle: id of the copy.
+    :param made: events generated so far.
     """
 
     handle: str
@@ -198,11 +200,11 @@
 
 @dataclass(frozen=True)
 class EngineReport:
-    """What an engine says of itself.
+    """The status that an engine reports.
 
-    :param leaves_in: seconds until it ends, if it knows.
-    :param runs: the generations at work.
-    :param born: which start of it says so, in milliseconds since 1970; 0 if it does not say.
+    :param leaves_in: seconds until the engine stops, if it knows.
+    :param runs: the running generations.
+    :param born: start time of the reporting process, in milliseconds since 1970; 0 if unknown.
     """
 
     leaves_in: float | None
@@ -211,10 +213,10 @@
 
 
 class Dispatcher(Protocol):
-    """Carries out what a gateway decided."""
+    """Sends a gateway's requests to upstreams."""
 
     async def send(self, attempt: Attempt) -> Reply:
-        """Send a request and return its answer, or the stream that it began."""
+        """Send a request and return its response, or the event stream that it started."""
 
     async def copy(
         self, job: Job, source: Instance, destination: Instance, final: bool
@@ -222,7 +224,7 @@
         """Copy a running generation's memory; a final copy stops it first."""
 
     async def report(self, instance: Instance) -> EngineReport | Failure:
-        """Ask an engine for its report; each one is paid for."""
+        """Request an engine's report; each one is paid for."""
 
     def forget(self, instance: Instance) -> None:
-        """Close the idle connections to an instance that left."""
+        """Close the idle connections to an instance that has left."""
--- a/src/daleroad/messages.py
+++ b/src/daleroad/messages.py
@@ -1,4 +1,4 @@
-"""Messages between our own processes, besides those of the replicated log."""
+"""JSON messages among callers, entries, control processes and engines, without the log's."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class FollowRequest:
-    """An entry asks for what changed after ``revision`` and for its lease."""
+    """Sent by an entry to get the changes after ``revision`` and to renew its lease."""
 
     entry: EntryMember
     revision: int
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Effective:
-    """A change that the log accepted, with its index."""
+    """A committed change with its log index."""
 
     index: int
     change: Change
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True)
 class FollowAnswer:
-    """What changed, or the whole state, and the lease in seconds.
+    """The changes or the whole state, and a lease.
 
-    :param revision: what the entry has once it applied the answer.
-    :param held: seconds between the request's arrival and this answer; the lease counts from
-        then on.
-    :param state: a dumped catalog when the entry was too far behind, else empty.
+    :param revision: revision of the entry's catalog once it has applied the answer.
+    :param lease: duration of the lease in seconds, counted from this answer.
+    :param held: seconds from the request's arrival to this answer.
+    :param state: a catalog dump if the entry was too far behind, otherwise empty.
     """
 
     revision: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class MembershipRequest:
-    """An entry reports a change of an upstream it is steward of, or its own leaving."""
+    """Sent by an entry to change an upstream that it is steward of, or to leave."""
 
     change: Change
 
@@ -56,18 +56,18 @@
 
 @dataclass(frozen=True)
 class ClaimRequest:
-    """A command for the claim journal, as text."""
+    """An encoded command for the claim journal."""
 
     payload: str
 
 
 @dataclass(frozen=True)
 class Work:
-    """What a steward knows of a request that asks for a permit.
+    """Describes a generation to the steward that admits it.
 
-    :param prompt_tokens: tokens that the engine has to read.
-    :param most_tokens: limit of the output.
-    :param deadline: seconds from now until the permit is of no use.
+    :param prompt_tokens: estimated size of the prompt.
+    :param most_tokens: maximum number of output tokens.
+    :param deadline: seconds until the permit is no longer useful.
     """
 
     generation: str
@@ -83,11 +83,11 @@
 
 @dataclass(frozen=True)
 class PermitRequest:
-    """An entry asks an upstream's steward to admit work.
+    """Sent by an entry to an upstream's steward to have work admitted.
 
-    :param entry: who asks.
-    :param epoch: membership epoch by which the receiver is the steward.
-    :param wait: whether to wait in the queue, or only to be admitted at once.
+    :param entry: name of the sender.
+    :param epoch: membership epoch in which the sender takes the receiver for the steward.
+    :param wait: whether to queue the work if it can't be admitted at once.
     """
 
     entry: str
@@ -99,14 +99,17 @@
 
 @dataclass(frozen=True)
 class PermitAnswer:
-    """The permit was given. ``load`` is the share of the upstream's memory promised."""
+    """The work was admitted; ``load`` is the reserved share of the upstream's memory."""
 
     load: float
 
 
 @dataclass(frozen=True)
 class PermitEnd:
-    """An entry gives a permit back: the work ended after so many tokens, or never started."""
+    """Sent by an entry to release a permit when the work has ended or never started.
+
+    :param tokens: tokens that the work produced.
+    """
 
     upstream: str
     generation: str
@@ -117,7 +120,7 @@
 
 @dataclass(frozen=True)
 class Handover:
-    """A leaving steward's ledger of one upstream: works running and their tokens so far."""
+    """Running works of one upstream and their token counts, for its new steward."""
 
     upstream: str
     works: tuple[Work, ...]
@@ -126,7 +129,7 @@
 
 @dataclass(frozen=True)
 class Completion:
-    """The body of a generation request."""
+    """Body of a caller's generation request."""
 
     route: str
     prompt: str
@@ -137,7 +140,7 @@
 
 @dataclass(frozen=True)
 class EngineCompletion:
-    """What an entry sends to an engine."""
+    """Body of the generation request that an entry sends to an engine."""
 
     generation: str
     model: str
@@ -148,9 +151,11 @@
 
 @dataclass(frozen=True)
 class Forbidden:
-    """An engine's answer to a cancel order that it remembers.
+    """An engine's answer to a cancellation, which it remembers for requests that arrive later.
 
-    :param state: ``unseen``, ``running``, ``done`` or ``cancelled``: what it knew before.
+    :param state: state before the cancellation: ``unseen``, ``running``, ``done`` or
+        ``cancelled``.
+    :param tokens: tokens generated so far.
     """
 
     state: str
@@ -159,9 +164,9 @@
 
 @dataclass(frozen=True)
 class EngineOrder:
-    """An order to an engine: the model versions it should have loaded.
+    """The model versions that an engine should have loaded.
 
-    :param fencing: number that only grows; engines that check it refuse older ones.
+    :param fencing: increasing fencing number; engines that check it refuse lower ones.
     """
 
     fencing: int
@@ -170,7 +175,7 @@
 
 @dataclass(frozen=True)
 class EngineState:
-    """An engine's state, read back."""
+    """The model versions that an engine has loaded, and its highest fencing number."""
 
     fencing: int
     models: tuple[str, ...]
@@ -178,7 +183,7 @@
 
 @dataclass(frozen=True)
 class SlotRequest:
-    """An entry asks for a slot of a limited organisation."""
+    """Sent by an entry to take a slot of an organisation with a concurrency limit."""
 
     organisation: str
     request: str
@@ -187,7 +192,7 @@
 
 @dataclass(frozen=True)
 class SlotHold:
-    """An entry asserts the slots it holds."""
+    """Sent by an entry to confirm the slots that it holds."""
 
     organisation: str
     requests: tuple[str, ...]
@@ -195,14 +200,14 @@
 
 @dataclass(frozen=True)
 class Suspicions:
-    """What an entry saw of requests under which upstreams ended."""
+    """Requests that were running on upstreams when these crashed, as seen by an entry."""
 
     suspicions: tuple[Suspicion, ...]
 
 
 @dataclass(frozen=True)
 class SlotEnd:
-    """An entry gives a slot back."""
+    """Sent by an entry to release a slot."""
 
     organisation: str
     request: str
--- a/src/daleroad/relay.py
+++ b/src/daleroad/relay.py
@@ -1,6 +1,8 @@
-"""Relays one generation from an engine: resumes after cuts, stalls and gaps, never splices.
+"""Streams one generation from an engine over HTTP and resumes it after an interruption.
 
-The stages are generators: chunks of a response, events, frames, pieces for the caller.
+Interruptions are closed connections, stalls and gaps in the token indexes. Each stage is an async
+generator: response chunks, then events, then frames, then the parts that the caller gets.
+Frames of another generation are never delivered.
 """
 
 from collections.abc import AsyncGenerator
@@ -24,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Piece:
-    """Whole events for the caller, with how many tokens they carry."""
+    """Complete events for the caller and the number of tokens in them."""
 
     raw: bytes
     count: int
@@ -32,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Ended:
-    """The generation is whole."""
+    """The generation is complete; ``raw`` is its end event."""
 
     raw: bytes
     tokens: int
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Broken:
-    """The generation can't be had further."""
+    """The generation can't be resumed."""
 
     failure: Failure
 
@@ -49,8 +51,11 @@
 
 
 @dataclass(frozen=True)
-class _Cut:
-    """A response ended early; ``failure`` says how it looks from here."""
+class _Interruption:
+    """A response that ended before the generation did.
+
+    :param final: whether a resume is pointless.
+    """
 
     failure: Failure
     final: bool = False
@@ -58,20 +63,21 @@
 
 @dataclass
 class Relay:
-    """Reads one generation.
+    """Reads one generation from an engine.
 
-    :param links: connections.
-    :param address: the engine's base URL.
-    :param delivery: where the delivery stands.
-    :param stall: seconds without any byte after which a link is taken as stalled.
-    :param urgent: which pool of connections to use.
+    :param links: HTTP clients.
+    :param address: base URL of the engine.
+    :param delivery: position in the token sequence.
+    :param stall_seconds: read timeout of the stream.
+    :param urgent: whether to use the connection pool for urgent requests.
     :param random: source of jitter.
+    :param resumes: resume requests made so far.
     """
 
     links: Links
     address: str
     delivery: Delivery
-    stall: float
+    stall_seconds: float
     urgent: bool
     random: Random
     resumes: int = 0
@@ -79,98 +85,106 @@
     async def start(self, order: EngineCompletion) -> AsyncGenerator[Part, None]:
         """Dispatch a generation and yield its parts.
 
-        :param order: what the engine should run; sent once and never again.
+        :param order: the request for the engine; it is sent once and never retried.
         """
-        first = self._request("POST", "/v1/completions", encode(order))
-        async with aclosing(self._read(first)) as parts:
+        first = self._stream_response("POST", "/v1/completions", encode(order))
+        async with aclosing(self._read_with_resumes(first)) as parts:
             async for part in parts:
                 yield part
 
     async def resume(self) -> AsyncGenerator[Part, None]:
-        """Yield the parts of a generation that was dispatched before."""
-        async with aclosing(self._read(self._make_resume())) as parts:
+        """Yield the remaining parts of a generation that was dispatched earlier."""
+        async with aclosing(self._read_with_resumes(self._request_resume())) as parts:
             async for part in parts:
                 yield part
 
-    def _make_resume(self) -> AsyncGenerator[bytes | _Cut, None]:
+    def _request_resume(self) -> AsyncGenerator[bytes | _Interruption, None]:
         generation, index = self.delivery.generation, self.delivery.next_index
-        return self._request("GET", f"/v1/generations/{generation}?from={index}", None)
+        return self._stream_response("GET", f"/v1/generations/{generation}?from={index}", None)
 
-    async def _read(self, source: AsyncGenerator[bytes | _Cut, None]) -> AsyncGenerator[Part, None]:
-        tries = 0
+    async def _read_with_resumes(
+        self, source: AsyncGenerator[bytes | _Interruption, None]
+    ) -> AsyncGenerator[Part, None]:
+        tries_without_progress = 0
         while True:
-            before = self.delivery.next_index
-            cut = _Cut(Failure(FailureKind.UPSTREAM_LOST, "the stream ended early", Ran.UNKNOWN))
-            async with aclosing(self._judge(source)) as parts:
+            index_before = self.delivery.next_index
+            interruption = _Interruption(
+                Failure(FailureKind.UPSTREAM_LOST, "the stream ended early", Ran.UNKNOWN)
+            )
+            async with aclosing(self._assemble_parts(source)) as parts:
                 async for part in parts:
-                    if isinstance(part, _Cut):
-                        cut = part
+                    if isinstance(part, _Interruption):
+                        interruption = part
                         break
                     yield part
                     if isinstance(part, Ended):
                         return
-            tries = 0 if self.delivery.next_index > before else tries + 1
-            if cut.final or tries > RESUME_TRIES:
-                yield Broken(cut.failure)
+            tries_without_progress = (
+                0 if self.delivery.next_index > index_before else tries_without_progress + 1
+            )
+            if interruption.final or tries_without_progress > RESUME_TRIES:
+                yield Broken(interruption.failure)
                 return
-            await anyio.sleep(get_backoff(tries, self.random))
+            await anyio.sleep(get_backoff(tries_without_progress, self.random))
             self.resumes += 1
             log_event(
                 Event.STREAM_RESUMED,
                 generation=self.delivery.generation,
                 index=self.delivery.next_index,
             )
-            source = self._make_resume()
+            source = self._request_resume()
 
-    async def _judge(
-        self, source: AsyncGenerator[bytes | _Cut, None]
-    ) -> AsyncGenerator[Piece | Ended | _Cut, None]:
-        """Turn chunks into pieces, and stop at the first gap."""
+    async def _assemble_parts(
+        self, source: AsyncGenerator[bytes | _Interruption, None]
+    ) -> AsyncGenerator[Piece | Ended | _Interruption, None]:
+        """Turn response chunks into parts for the caller, up to the end or the first gap."""
         buffer = bytearray()
         async with aclosing(source) as chunks:
             async for chunk in chunks:
-                if isinstance(chunk, _Cut):
+                if isinstance(chunk, _Interruption):
                     yield chunk
                     return
-                kept: list[bytes] = []
-                last: Verdict | None = None
-                end = b""
+                delivered: list[bytes] = []
+                verdict: Verdict | None = None
+                end_event = b""
                 for frame in parse_frames(split_events(buffer, chunk)):
-                    last = self.delivery.judge(frame)
-                    if last is Verdict.DELIVER:
-                        kept.append(frame.raw)
-                    elif last is not Verdict.DROP:
-                        end = frame.raw
+                    verdict = self.delivery.judge(frame)
+                    if verdict is Verdict.DELIVER:
+                        delivered.append(frame.raw)
+                    elif verdict is not Verdict.DROP:
+                        end_event = frame.raw
                         break
-                if kept:
-                    yield Piece(b"\n\n".join(kept) + b"\n\n", len(kept))
-                if last is Verdict.END:
-                    yield Ended(end + b"\n\n", self.delivery.next_index)
+                if delivered:
+                    yield Piece(b"\n\n".join(delivered) + b"\n\n", len(delivered))
+                if verdict is Verdict.END:
+                    yield Ended(end_event + b"\n\n", self.delivery.next_index)
                     return
-                if last is Verdict.GAP:
-                    yield _Cut(Failure(FailureKind.UPSTREAM_LOST, "a gap", Ran.UNKNOWN))
+                if verdict is Verdict.GAP:
+                    yield _Interruption(
+                        Failure(FailureKind.UPSTREAM_LOST, "gap in the token indexes", Ran.UNKNOWN)
+                    )
                     return
 
-    async def _request(
+    async def _stream_response(
         self, method: str, path: str, body: bytes | None
-    ) -> AsyncGenerator[bytes | _Cut, None]:
-        """Yield the chunks of one response, then how it was cut if it was."""
+    ) -> AsyncGenerator[bytes | _Interruption, None]:
+        """Yield the chunks of one response, then its interruption if there is one."""
         client = self.links.urgent if self.urgent else self.links.long
         try:
-            with anyio.fail_after(self.stall):
+            with anyio.fail_after(self.stall_seconds):
                 request = client.build_request(method, self.address + path, content=body)
                 response = await client.send(request, stream=True)
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             ran = Ran.NO if method == "POST" else Ran.UNKNOWN
-            failure = Failure(FailureKind.UPSTREAM_LOST, f"no connection: {error!r}", ran)
-            yield _Cut(failure, final=method == "POST")
+            failure = Failure(FailureKind.UPSTREAM_LOST, f"connection failed: {error!r}", ran)
+            yield _Interruption(failure, final=method == "POST")
             return
         except (httpx.HTTPError, TimeoutError) as error:
-            yield _Cut(Failure(FailureKind.UPSTREAM_LOST, f"{error!r}", Ran.UNKNOWN))
+            yield _Interruption(Failure(FailureKind.UPSTREAM_LOST, f"{error!r}", Ran.UNKNOWN))
             return
         try:
             if response.status_code >= 400:
-                yield await self._parse_refusal(response, method)
+                yield await self._parse_error_response(response, method)
                 return
             async for chunk in self._read_chunks(response):
                 yield chunk
@@ -178,42 +192,46 @@
             with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
                 await response.aclose()
 
-    async def _parse_refusal(self, response: httpx.Response, method: str) -> _Cut:
+    async def _parse_error_response(self, response: httpx.Response, method: str) -> _Interruption:
         try:
             problem = parse_problem(await response.aread())
         except httpx.HTTPError as error:
             failure = Failure(FailureKind.UPSTREAM_LOST, f"{error!r}", Ran.UNKNOWN)
-            return _Cut(failure)
+            return _Interruption(failure)
         ran = problem.ran if method == "POST" else Ran.UNKNOWN
         reason = f"{problem.kind.value}: {problem.reason}"
         failure = Failure(FailureKind.UPSTREAM_REFUSED, reason, ran, problem.retry_after)
-        return _Cut(failure, final=True)
+        return _Interruption(failure, final=True)
 
-    async def _read_chunks(self, response: httpx.Response) -> AsyncGenerator[bytes | _Cut, None]:
+    async def _read_chunks(
+        self, response: httpx.Response
+    ) -> AsyncGenerator[bytes | _Interruption, None]:
         chunks = response.aiter_raw()
         while True:
             try:
-                with anyio.fail_after(self.stall):
+                with anyio.fail_after(self.stall_seconds):
                     chunk = await anext(chunks)
             except StopAsyncIteration:
                 reason = "the stream ended early"
-                yield _Cut(Failure(FailureKind.UPSTREAM_LOST, reason, Ran.UNKNOWN))
+                yield _Interruption(Failure(FailureKind.UPSTREAM_LOST, reason, Ran.UNKNOWN))
                 return
             except TimeoutError:
-                yield _Cut(Failure(FailureKind.STALLED, "no progress", Ran.UNKNOWN))
+                yield _Interruption(
+                    Failure(FailureKind.STALLED, "no data within the stall timeout", Ran.UNKNOWN)
+                )
                 return
             except httpx.HTTPError as error:
-                yield _Cut(Failure(FailureKind.UPSTREAM_LOST, f"{error!r}", Ran.UNKNOWN))
+                yield _Interruption(Failure(FailureKind.UPSTREAM_LOST, f"{error!r}", Ran.UNKNOWN))
                 return
             yield chunk
 
 
 async def forbid(links: Links, address: str, generation: str) -> Forbidden | Failure:
-    """Tell an engine to cancel a generation, and to refuse it if it comes later.
+    """Tell an engine to cancel a generation, or to reject it if it arrives later.
 
-    :param links: connections.
-    :param address: the engine's base URL.
-    :param generation: the generation.
+    :param links: HTTP clients.
+    :param address: base URL of the engine.
+    :param generation: id of the generation.
     """
     try:
         response = await links.short.post(
@@ -222,5 +240,5 @@
     except httpx.HTTPError as error:
         return Failure(FailureKind.UNREACHABLE, f"{error!r}", Ran.UNKNOWN)
     if response.status_code != 200:
-        return Failure(FailureKind.UNREACHABLE, f"status {response.status_code}", Ran.UNKNOWN)
+        return Failure(FailureKind.UNREACHABLE, f"HTTP status {response.status_code}", Ran.UNKNOWN)
     return decode(Forbidden, response.content)
--- a/src/daleroad/retries.py
+++ b/src/daleroad/retries.py
@@ -1,4 +1,4 @@
-"""When to try again: a budget that grows with first tries, and backoff with jitter. Pure."""
+"""Retry budgets and exponential backoff with jitter. Pure."""
 
 from collections import deque
 from random import Random
@@ -13,31 +13,33 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of first tries, so that retries can't feed an overload.
+    """A token bucket that limits retries to a share of first attempts.
 
-    :param share: retries for each first try.
-    :param burst: retries allowed to start with, and at most saved up.
+    The limit keeps retries from amplifying an overload.
+
+    :param share: retries earned by each first attempt.
+    :param burst: initial and maximum number of saved retries.
     """
 
     def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST) -> None:
         self._share = share
         self._burst = burst
-        self._left = burst
+        self._tokens = burst
 
     def note_try(self) -> None:
-        """Note a first try."""
-        self._left = min(self._burst, self._left + self._share)
+        """Count a first attempt."""
+        self._tokens = min(self._burst, self._tokens + self._share)
 
     def take(self) -> bool:
-        """Take one retry; return whether it is allowed."""
-        if self._left < 1:
+        """Use up one retry; return whether it is allowed."""
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 def get_backoff(attempt: int, random: Random) -> float:
-    """Return the delay before a retry in seconds, with full jitter.
+    """Return the delay before a retry in seconds, exponential with jitter.
 
     :param attempt: number of the retry, from 0.
     :param random: source of jitter.
@@ -47,47 +49,49 @@
 
 
 class WindowBudget:
-    """Allows repeats as a share of first tries in a sliding window, with a fixed part on top.
-
-    Several processes share the fixed part; each is told how many they are.
+    """Limits retries per service in a sliding window, with an allowance shared among processes.
 
-    :param ratio: repeats for each first try.
-    :param slack: repeats in a window beyond the share, for all processes together.
+    :param ratio: retries allowed for each first attempt in the window.
+    :param slack: further retries allowed in a window, for all processes together.
     :param seconds: length of the window.
     """
 
     def __init__(self, ratio: float, slack: float, seconds: float) -> None:
         self._ratio = ratio
         self._slack = slack
-        self._seconds = seconds
-        self._firsts: dict[str, deque[float]] = {}
-        self._repeats: dict[str, deque[float]] = {}
+        self._window_seconds = seconds
+        self._first_attempts: dict[str, deque[float]] = {}
+        self._retries: dict[str, deque[float]] = {}
 
     def note_first(self, service: str, now: float) -> None:
-        """Note a first try.
+        """Count a first attempt.
 
-        :param service: where it went.
-        :param now: the time.
+        :param service: name of the service that it went to.
+        :param now: current time in seconds.
         """
-        self._trim(self._firsts, service, now).append(now)
+        self._drop_expired(self._first_attempts, service, now).append(now)
 
-    def take(self, service: str, sharers: int, now: float) -> bool:
-        """Take one repeat; return whether it is allowed.
+    def take(self, service: str, process_count: int, now: float) -> bool:
+        """Use up one retry; return whether it is allowed.
 
-        :param service: where it goes.
-        :param sharers: processes that share the budget.
-        :param now: the time.
+        :param service: name of the service that it goes to.
+        :param process_count: number of processes that share the budget.
+        :param now: current time in seconds.
         """
-        firsts = self._trim(self._firsts, service, now)
-        repeats = self._trim(self._repeats, service, now)
-        allowed = BUDGET_SAFETY * (self._ratio * len(firsts) + self._slack / max(1, sharers))
-        if len(repeats) + 1 > allowed:
+        first_attempts = self._drop_expired(self._first_attempts, service, now)
+        retries = self._drop_expired(self._retries, service, now)
+        allowed = BUDGET_SAFETY * (
+            self._ratio * len(first_attempts) + self._slack / max(1, process_count)
+        )
+        if len(retries) + 1 > allowed:
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
-    def _trim(self, kept: dict[str, deque[float]], service: str, now: float) -> deque[float]:
-        times = kept.setdefault(service, deque())
-        while times and times[0] <= now - self._seconds:
+    def _drop_expired(
+        self, attempts: dict[str, deque[float]], service: str, now: float
+    ) -> deque[float]:
+        times = attempts.setdefault(service, deque())
+        while times and times[0] <= now - self._window_seconds:
             times.popleft()
         return times
