--- a/src/daleroad/delivery.py
+++ b/src/daleroad/delivery.py
@@ -1,4 +1,4 @@
-"""One generation, each token once and in order. Pure."""
+"""Parses an engine's event stream and delivers each token once and in order. Pure."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 class Frame:
     """One event of an engine's stream.
 
-    :param generation: the generation it belongs to; empty on the end frame and on comments.
-    :param index: index of the token.
-    :param raw: the event as it came, without the empty line behind it.
-    :param end: whether this is the end of the whole generation.
+    :param generation: id of the generation; empty for an event without a valid id.
+    :param index: index of the token, or the token count on the end frame; -1 without a valid id.
+    :param raw: the event as received, without its terminating empty line.
+    :param end: whether this frame ends the generation.
     """
 
     generation: str
@@ -22,7 +22,7 @@
 
 
 class Verdict(Enum):
-    """What to do with a frame."""
+    """How to handle a frame."""
 
     DELIVER = auto()
     DROP = auto()
@@ -32,17 +32,17 @@
 
 @dataclass
 class Delivery:
-    """Where one generation's delivery stands.
+    """Tracks the position in one generation's token sequence.
 
-    :param generation: the only generation whose tokens are delivered.
-    :param next_index: index of the token that comes next.
+    :param generation: id of the only generation whose tokens are delivered.
+    :param next_index: index of the next token to deliver.
     """
 
     generation: str
     next_index: int = 0
 
     def judge(self, frame: Frame) -> Verdict:
-        """Return what to do with a frame, and move on if it is delivered.
+        """Return how to handle a frame, and advance if it is delivered.
 
         :param frame: the frame.
         """
@@ -58,26 +58,26 @@
     def _judge_end(self, frame: Frame) -> Verdict:
         if frame.generation != self.generation:
             return Verdict.DROP
-        # The end names the count of tokens, so an end that overtook tokens is a gap.
+        # The end frame carries the token count, so a higher count means that tokens are missing.
         return Verdict.END if frame.index <= self.next_index else Verdict.GAP
 
 
 def split_events(buffer: bytearray, chunk: bytes) -> Iterator[bytes]:
-    """Yield the whole events that a chunk completes; the rest stays in the buffer.
+    """Yield the events that a chunk completes; an incomplete one stays in the buffer.
 
-    :param buffer: what came before and is not whole.
-    :param chunk: what came now.
+    :param buffer: data of an incomplete event.
+    :param chunk: newly received data.
     """
     buffer += chunk
-    *events, rest = buffer.split(b"\n\n")
-    buffer[:] = rest
+    *events, incomplete = buffer.split(b"\n\n")
+    buffer[:] = incomplete
     yield from (bytes(event) for event in events if event)
 
 
 def parse_frames(events: Iterable[bytes]) -> Iterator[Frame]:
-    """Yield events as frames; only the id line is read.
+    """Parse events into frames; only the id line is read.
 
-    :param events: whole events, without the empty line.
+    :param events: complete events, without their terminating empty line.
     """
     for event in events:
         yield _parse_frame(event)
@@ -88,8 +88,8 @@
     line = event[11:] if end else event
     if not line.startswith(b"id: "):
         return Frame("", -1, event)
-    stop = line.find(b"\n")
-    generation, _, index = line[4 : stop if stop >= 0 else len(line)].rpartition(b":")
+    line_end = line.find(b"\n")
+    generation, _, index = line[4 : line_end if line_end >= 0 else len(line)].rpartition(b":")
     if not index.isdigit():
         return Frame("", -1, event)
     return Frame(generation.decode("ascii", "replace"), int(index), event, end)
--- a/src/daleroad/entry.py
+++ b/src/daleroad/entry.py
@@ -1,4 +1,4 @@
-"""The entry role: serves callers and is steward of a few upstreams."""
+"""The entry process: serves callers and admits work to the upstreams it is steward of."""
 
 from collections.abc import AsyncGenerator, Awaitable, Callable
 from contextlib import aclosing
@@ -51,18 +51,19 @@
 from daleroad.stewardship import Stewardship
 
 _DRAIN_CHECK_SECONDS = 0.1
-_LEAST_SECONDS = 0.3
-"""With less time left an entry takes nothing, not even a resumed stream; some round trips."""
+_MIN_REMAINING_SECONDS = 0.3
+"""With less time left before its end an entry refuses callers' requests, resumed streams included;
+a few round trips."""
 
 _CLOSE_SECONDS = 0.1
-"""Kept until the supervisor's kill for closing connections."""
+"""Reserved before the supervisor's kill for closing connections."""
 
 
 class Entry:
     """One entry process.
 
-    :param settings: its settings.
-    :param random: source of choices between equals.
+    :param settings: settings of the process.
+    :param random: source of random choices among equivalent targets.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -79,7 +80,7 @@
         self._stop = anyio.Event()
 
     async def run(self) -> None:
-        """Serve until stopped and drained."""
+        """Serve until stopped, then deregister and close all connections."""
         settings = self.env.settings
         async with anyio.create_task_group() as tasks:
             self.env.tasks = tasks
@@ -93,13 +94,13 @@
         await self.env.links.close()
 
     async def _leave(self) -> None:
-        """Tell the leader that this entry is gone, if there is time."""
-        killed_at = self.env.ends_at + STOP_KEPT_SECONDS
-        with anyio.CancelScope(deadline=killed_at - _CLOSE_SECONDS):
+        """Deregister from the leader if enough time is left before the kill."""
+        kill_at = self.env.ends_at + STOP_KEPT_SECONDS
+        with anyio.CancelScope(deadline=kill_at - _CLOSE_SECONDS):
             await self.env.follower.leave()
 
     async def drain(self) -> None:
-        """Leave without cutting off a request that can be over before the supervisor's kill.
+        """Finish the requests that can end before the supervisor's kill, then stop.
 
         New requests are accepted until the locate answers given out have expired.
         """
@@ -128,8 +129,8 @@
 
     def _make_router(self) -> Router:
         router = Router(self.env.settings.body_bytes)
-        router.add("POST", "/v1/completions", self._guard(self._generations.serve))
-        router.add("*", "/services/", self._guard(self._plain.serve))
+        router.add("POST", "/v1/completions", self._with_admission_check(self._generations.serve))
+        router.add("*", "/services/", self._with_admission_check(self._plain.serve))
         router.add("POST", "/permits", self._serve_permit)
         router.add("POST", "/permits/end", self._serve_permit_end)
         router.add("POST", "/permits/restore", self._serve_restore)
@@ -139,18 +140,18 @@
         router.add("POST", "/suspicions", self._serve_suspicions)
         router.add("GET", "/metrics", self._serve_metrics)
         router.add("GET", "/status", self._serve_status)
-        face = EntryFace(self)
-        for app in (LocatorASGIApplication(face), RegistryASGIApplication(face)):
+        service = EntryRpcService(self)
+        for app in (LocatorASGIApplication(service), RegistryASGIApplication(service)):
             router.mount(app.path, app)  # type: ignore[arg-type]
         return router
 
-    def _guard(
+    def _with_admission_check(
         self, handler: Callable[[Request], Awaitable[Answer]]
     ) -> Callable[[Request], Awaitable[Answer]]:
-        """Return a handler that refuses what this entry may not or can't take on."""
+        """Wrap a handler to refuse requests while draining, without a lease or at the limit."""
 
         async def handle(request: Request) -> Answer:
-            refused = self._find_refusal()
+            refused = self._check_admission()
             if refused is not None:
                 return refused
             self._requests += 1
@@ -159,13 +160,15 @@
             finally:
                 self._requests -= 1
             if isinstance(answer, Stream):
-                return replace(answer, pieces=self._count(answer.pieces))
+                return replace(answer, pieces=self._count_stream(answer.pieces))
             return answer
 
         return handle
 
-    async def _count(self, pieces: AsyncGenerator[bytes, None]) -> AsyncGenerator[bytes, None]:
-        """Pass a stream on; it counts as a request from its first piece until its end."""
+    async def _count_stream(
+        self, pieces: AsyncGenerator[bytes, None]
+    ) -> AsyncGenerator[bytes, None]:
+        """Forward a stream and count it as a request while it is consumed."""
         self._requests += 1
         try:
             async with aclosing(pieces):
@@ -174,24 +177,26 @@
         finally:
             self._requests -= 1
 
-    def _find_refusal(self) -> Failure | None:
+    def _check_admission(self) -> Failure | None:
         settings = self.env.settings
-        left = self.env.ends_at - anyio.current_time()
-        if not self._accepting or left < _LEAST_SECONDS:
-            return Failure(FailureKind.DRAINING, "this entry is leaving", retry_after=0.1)
-        refuses = settings.on_lost_control is OnLostControl.REFUSE
-        if refuses and not self.env.follower.has_lease():
+        remaining = self.env.ends_at - anyio.current_time()
+        if not self._accepting or remaining < _MIN_REMAINING_SECONDS:
+            return Failure(FailureKind.DRAINING, "this entry is draining", retry_after=0.1)
+        refuses_without_lease = settings.on_lost_control is OnLostControl.REFUSE
+        if refuses_without_lease and not self.env.follower.has_lease():
             reason = "this entry has no configuration lease; use another"
             return Failure(FailureKind.NO_LEASE, reason, retry_after=1.0)
         if self._requests >= settings.requests_most:
-            return Failure(FailureKind.OVERLOADED, "too many requests here", retry_after=1.0)
+            return Failure(
+                FailureKind.OVERLOADED, "this entry is at its request limit", retry_after=1.0
+            )
         return None
 
     def _check_peer(self, request: Request) -> Failure | None:
         return check_peer(request.headers, self.env.settings.cluster_secret)
 
-    def _parse_peer(self, request: Request, shape: Any) -> Any:
-        return self._check_peer(request) or decode(shape, request.body)
+    def _parse_peer(self, request: Request, message_type: Any) -> Any:
+        return self._check_peer(request) or decode(message_type, request.body)
 
     async def _serve_permit(self, request: Request) -> Answer:
         asked = self._parse_peer(request, PermitRequest)
@@ -239,10 +244,10 @@
         return Response(204)
 
     async def _serve_suspicions(self, request: Request) -> Answer:
-        told = self._parse_peer(request, Suspicions)
-        if isinstance(told, Failure):
-            return told
-        self.holding.take(told)
+        suspicions = self._parse_peer(request, Suspicions)
+        if isinstance(suspicions, Failure):
+            return suspicions
+        self.holding.take(suspicions)
         return Response(204)
 
     async def _serve_metrics(self, request: Request) -> Answer:
@@ -265,10 +270,10 @@
         return Response(200, orjson.dumps(status))
 
 
-class EntryFace:
-    """Locate and announce, as the schema defines them.
+class EntryRpcService:
+    """Implements the Locator and Registry services of the schema.
 
-    :param entry: the entry.
+    :param entry: the entry that handles the calls.
     """
 
     def __init__(self, entry: Entry) -> None:
@@ -277,10 +282,12 @@
     async def locate(
         self, request: LocateRequest, ctx: RequestContext[LocateRequest, LocateAnswer], /
     ) -> LocateAnswer:
-        """Return addresses of entries."""
+        """Return addresses of entries for a client to use."""
         env = self._entry.env
         if not env.follower.has_lease():
-            raise ConnectError(Code.UNAVAILABLE, "this entry has no lease; ask another")
+            raise ConnectError(
+                Code.UNAVAILABLE, "this entry has no configuration lease; use another"
+            )
         entries = env.catalog.entries.values()
         addresses = pick_addresses(entries, request.zone, request.most, env.random)
         return LocateAnswer(addresses=addresses, keep_seconds=env.settings.locate_keep)
@@ -288,11 +295,13 @@
     async def announce(
         self, request: Announcement, ctx: RequestContext[Announcement, AnnounceAnswer], /
     ) -> AnnounceAnswer:
-        """Take an upstream's announcement or name the steward that does."""
+        """Register an upstream, or name the steward that does."""
         self._authenticate(ctx)
         env = self._entry.env
         if not request.upstream or "/" in request.upstream:
-            raise ConnectError(Code.INVALID_ARGUMENT, "the upstream's name is empty or has a /")
+            raise ConnectError(
+                Code.INVALID_ARGUMENT, "the upstream's name is empty or contains a slash"
+            )
         upstream = Upstream(
             request.upstream,
             request.address,
@@ -311,16 +320,16 @@
     async def tell(
         self, request: Report, ctx: RequestContext[Report, ReportAnswer], /
     ) -> ReportAnswer:
-        """Take an upstream's report."""
+        """Process an upstream's periodic load report."""
         self._authenticate(ctx)
         produced = {work.generation: work.produced for work in request.running}
         load = Load(request.used, request.preemptions, produced)
-        known = self._entry.stewardship.tell(
+        is_known = self._entry.stewardship.tell(
             request.upstream, load, request.draining, request.left, list(request.models)
         )
-        return ReportAnswer(announce_again=not known)
+        return ReportAnswer(announce_again=not is_known)
 
     def _authenticate(self, ctx: RequestContext[Any, Any]) -> None:
         token = get_bearer(ctx.request_headers.get("authorization", ""))
         if not is_token(token, hash_token(self._entry.env.settings.upstream_token)):
-            raise ConnectError(Code.UNAUTHENTICATED, "not an upstream's token")
+            raise ConnectError(Code.UNAUTHENTICATED, "invalid upstream token")
--- a/src/daleroad/jobs.py
+++ b/src/daleroad/jobs.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a job: who asks, for which route, in which model version. Pure."""
+"""Parses and authenticates generation requests, and picks their model version. Pure."""
 
 from dataclasses import dataclass, replace
 
@@ -14,18 +14,18 @@
 from daleroad.serving import Request
 
 _PREFIX_CHARS = 64
-_KEY_MOST = 200
+_MAX_KEY_CHARS = 200
 _URGENT_PRIORITY = 0
-_LONG_PRIORITY = 10
+_NORMAL_PRIORITY = 10
 
 
 @dataclass(frozen=True)
 class Job:
-    """A request that is understood and allowed.
+    """A valid, authenticated generation request.
 
     :param key: idempotency key; empty for a repeatable request without one.
-    :param digest: hash of the body, to tell another request under the same key.
-    :param deadline_at: time by which the first token must be there.
+    :param digest: hash of the body, to detect a different request under the same key.
+    :param deadline_at: time by which the first token must be available.
     """
 
     organisation: Organisation
@@ -39,34 +39,34 @@
 
     @property
     def prefix(self) -> str:
-        """Hash of the prompt's beginning, for cache affinity."""
+        """Hash of the first characters of the prompt, for cache affinity."""
         return xxh3_128_hexdigest(self.completion.prompt[:_PREFIX_CHARS].encode())
 
     @property
     def priority(self) -> int:
         """Priority for the engine; the lower number goes first."""
-        return _URGENT_PRIORITY if self.route.urgent else _LONG_PRIORITY
+        return _URGENT_PRIORITY if self.route.urgent else _NORMAL_PRIORITY
 
 
 def identify(directory: Directory, request: Request) -> Organisation | Failure:
-    """Return the organisation that shows its token.
+    """Return the organisation that a request's bearer token belongs to.
 
-    :param directory: knows the tokens' hashes.
+    :param directory: organisations by hash of their token.
     :param request: the request.
     """
     token = get_bearer(request.headers.get("authorization", ""))
     found = directory.find_organisation(hash_token(token)) if token else None
     if found is None:
-        return Failure(FailureKind.UNAUTHENTICATED, "unknown organisation or token")
+        return Failure(FailureKind.UNAUTHENTICATED, "missing or unknown bearer token")
     return found
 
 
 def parse_job(directory: Directory, request: Request, now: float) -> Job | Failure:
-    """Return the job that a generation request asks for, or why there is none.
+    """Validate a generation request and return its job.
 
-    :param directory: knows organisations and routes.
+    :param directory: the organisations and routes.
     :param request: the request.
-    :param now: the time.
+    :param now: current time in seconds.
     """
     organisation = identify(directory, request)
     if isinstance(organisation, Failure):
@@ -76,41 +76,41 @@
         return completion
     route = directory.get_route(completion.route, organisation.partner)
     if route is None or not route.models:
-        return Failure(FailureKind.UNKNOWN_ROUTE, f"no route {completion.route}")
-    fault = _find_fault(completion)
-    if fault is not None:
-        return Failure(FailureKind.BAD_REQUEST, fault)
+        return Failure(FailureKind.UNKNOWN_ROUTE, f"unknown route {completion.route}")
+    error = _validate_completion(completion)
+    if error is not None:
+        return Failure(FailureKind.BAD_REQUEST, error)
     deadline = parse_deadline(request, route, now)
     key = get_key(request, route)
     for failed in (deadline, key):
         if isinstance(failed, Failure):
             return failed
     assert isinstance(deadline, float) and isinstance(key, str)
-    sticky = key or completion.prompt[:_PREFIX_CHARS]
-    model = pick_split(route.models, f"{organisation.name}:{sticky}")
-    most = min(completion.max_tokens or route.max_tokens, route.max_tokens)
-    completion = replace(completion, max_tokens=most)
+    split_key = key or completion.prompt[:_PREFIX_CHARS]
+    model = pick_split(route.models, f"{organisation.name}:{split_key}")
+    max_tokens = min(completion.max_tokens or route.max_tokens, route.max_tokens)
+    completion = replace(completion, max_tokens=max_tokens)
     digest = xxh3_128_hexdigest(request.body)
     return Job(organisation, route, model, completion, key, digest, now, deadline)
 
 
-def _find_fault(completion: Completion) -> str | None:
+def _validate_completion(completion: Completion) -> str | None:
     if not completion.prompt:
         return "the prompt is empty"
     if completion.max_tokens < 0:
-        return "max_tokens is below 0"
+        return "max_tokens is negative"
     return None
 
 
 def get_key(request: Request, route: Route) -> str | Failure:
-    """Return the request's idempotency key; work that may not be repeated needs one.
+    """Return the request's idempotency key, which non-repeatable routes require.
 
     :param request: the request.
-    :param route: its route.
+    :param route: route of the request.
     """
     key = request.headers.get("idempotency-key", "")
-    if len(key) > _KEY_MOST:
-        reason = f"the idempotency key has more than {_KEY_MOST} characters"
+    if len(key) > _MAX_KEY_CHARS:
+        reason = f"the Idempotency-Key has more than {_MAX_KEY_CHARS} characters"
         return Failure(FailureKind.BAD_REQUEST, reason)
     if not key and not route.repeatable:
         reason = f"route {route.name} is not repeatable, so it needs an Idempotency-Key"
@@ -119,32 +119,32 @@
 
 
 def parse_deadline(request: Request, route: Route, now: float) -> float | Failure:
-    """Return the time by which the request must have started to be answered.
+    """Return the time by which the response must have started.
 
-    :param request: the request; header ``x-deadline-seconds`` counts from its arrival.
-    :param route: its route, with a deadline of its own or none.
-    :param now: the time.
+    :param request: the request; its header ``x-deadline-seconds`` is relative to ``now``.
+    :param route: route of the request; its deadline, if set, replaces the default.
+    :param now: current time in seconds.
     """
-    usual = URGENT_DEADLINE_SECONDS if route.urgent else DEADLINE_SECONDS
-    seconds = route.deadline or usual
+    default_seconds = URGENT_DEADLINE_SECONDS if route.urgent else DEADLINE_SECONDS
+    seconds = route.deadline or default_seconds
     text = request.headers.get("x-deadline-seconds")
     if text is None:
         return now + seconds
     try:
-        asked = float(text)
+        requested_seconds = float(text)
     except ValueError:
         return Failure(FailureKind.BAD_REQUEST, "x-deadline-seconds is not a number")
-    if not asked > 0:
+    if not requested_seconds > 0:
         return Failure(FailureKind.DEADLINE, "the deadline has passed", retry_after=None)
-    return now + min(asked, 10 * seconds)
+    return now + min(requested_seconds, 10 * seconds)
 
 
 def make_work(job: Job, generation: str, now: float) -> Work:
-    """Return what a steward has to know of a job.
+    """Describe a job to the steward that admits it.
 
     :param job: the job.
-    :param generation: its generation.
-    :param now: the time.
+    :param generation: id of its generation.
+    :param now: current time in seconds.
     """
     return Work(
         generation,
--- a/src/daleroad/routing.py
+++ b/src/daleroad/routing.py
@@ -1,7 +1,7 @@
-"""What may be asked of which service: the routes, services and organisations of one version.
+"""Routing configuration of a gateway, its validation, and the table that matches requests. Pure.
 
-A routing configuration is replaced as a whole; versions only grow. The table built from it
-answers, for each request, which route it takes and which organisation sent it. Pure.
+A configuration is replaced as a whole, under a higher version. The table finds a request's route,
+the organisation that sent it and the service that receives it.
 """
 
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 class Repeat(StrEnum):
-    """What may be done again with a request that failed."""
+    """How a failed request may be retried."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A service that a route sends a share of its requests to."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
@@ -38,14 +38,15 @@
 class RouteRule:
     """One route. Times are in seconds.
 
-    :param timeout: after which a request has its final answer.
-    :param objective: within which the first output should be there.
-    :param pause: longest pause between outputs of a stream that is still on time.
-    :param rank: urgency; 0 goes first.
-    :param attempts: upstreams that one request may run on.
-    :param public: whether requests need no key.
+    :param timeout: limit of the whole request.
+    :param objective: latency objective of the first output.
+    :param pause: longest pause between outputs of a stream that meets its objective.
+    :param rank: priority; 0 is the highest.
+    :param targets: the services of the route and their weights.
+    :param attempts: maximum number of upstreams that one request may run on.
+    :param public: whether requests need no API key.
     :param prompts: whether requests describe their prompt.
-    :param resumable: whether a stream may go on at another upstream after its last event.
+    :param resumable: whether another upstream can resume a stream after its last event.
     """
 
     name: str
@@ -63,31 +64,31 @@
     resumable: bool = False
 
     def find_silence(self) -> float:
-        """Return for how many seconds an upstream that does not answer at all is borne.
+        """Return the seconds without any response after which an upstream is given up.
 
-        A stream that may run once is lost when its connection is given up; its engine goes on
-        behind a cut, and what it made meanwhile comes when the cut has healed. So the silence is
-        borne as long as the client bears it.
+        A stream that can't be resumed is lost when its connection is closed. During a network
+        interruption its engine keeps generating, and the output arrives once the network has
+        recovered. So the limit is as long as the longest gap that the client accepts.
         """
         if self.repeat is not Repeat.STREAM or self.resumable:
             return SILENCE_SECONDS
-        objectives = CLIENT_GAP_OBJECTIVES * self.objective
-        return max(CLIENT_GAP_SECONDS, objectives, CLIENT_GAP_PAUSES * self.pause)
+        objective_limit = CLIENT_GAP_OBJECTIVES * self.objective
+        return max(CLIENT_GAP_SECONDS, objective_limit, CLIENT_GAP_PAUSES * self.pause)
 
     def is_repeatable(self) -> bool:
-        """Return whether a request that may have run may be sent to another upstream."""
+        """Return whether a request that may have run may be retried on another upstream."""
         return self.repeat is Repeat.IDEMPOTENT or self.resumable
 
 
 @dataclass(frozen=True)
 class EngineRule:
-    """What the engines of a service can do.
+    """Capacity and features of a service's engines.
 
-    :param slots: generations at a time.
-    :param memory_tokens: tokens that prompts and outputs may take together.
-    :param token_seconds: time of one token's memory on an engine's link.
+    :param slots: maximum number of concurrent generations.
+    :param memory_tokens: memory for prompts and outputs together, in tokens.
+    :param token_seconds: time to copy one token's memory over an engine's link.
     :param moves: whether a running generation can be copied to another engine.
-    :param backups: whether an engine copies a generation elsewhere while it runs.
+    :param backups: whether an engine can back up a generation to another one while it runs.
     :param event_tokens: tokens in one event of a stream.
     """
 
@@ -103,8 +104,8 @@
 class ServiceRule:
     """A service; ``engine`` is set where model engines serve it.
 
-    :param connections: connections that one upstream takes from all callers together.
-    :param cold_rate: requests a second that one upstream bears while it is cold; 0 for any number.
+    :param connections: connection limit of one upstream, for all callers together.
+    :param cold_rate: requests per second that a cold upstream can serve; 0 for no limit.
     """
 
     name: str
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True)
 class OrganisationRule:
-    """An organisation with its keys; a rank of its own goes before its routes' ranks."""
+    """An organisation with its API keys; its rank, if set, overrides the rank of the route."""
 
     name: str
     keys: tuple[str, ...]
@@ -125,7 +126,7 @@
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """What a client may send, in bytes, and how long it may take or stay idle, in seconds."""
+    """Size limits of a client's request, and timeouts of its header and of idle connections."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -145,42 +146,49 @@
 
 
 def find_fault(config: RoutingConfig) -> Failure | None:
-    """Return the first reason why a configuration can't come into force, or nothing.
+    """Return the first reason why a configuration is invalid, or nothing.
 
     :param config: the configuration.
     """
-    reason = next(_list_faults(config), None)
+    reason = next(_list_errors(config), None)
     return Failure(FailureKind.INVALID, reason) if reason else None
 
 
-def _list_faults(config: RoutingConfig) -> Iterator[str]:
+def _list_errors(config: RoutingConfig) -> Iterator[str]:
     services = {service.name for service in config.services}
-    places = Counter((route.host, route.prefix) for route in config.routes)
+    route_counts = Counter((route.host, route.prefix) for route in config.routes)
     for route in config.routes:
         if not route.prefix.startswith("/") or not route.prefix.endswith("/"):
-            yield f"route {route.name}: prefix {route.prefix!r} needs a slash at both ends"
-        if places[route.host, route.prefix] > 1:
-            yield f"route {route.name}: another route has {route.host}{route.prefix}"
+            yield f"route {route.name}: prefix {route.prefix!r} must start and end with a slash"
+        if route_counts[route.host, route.prefix] > 1:
+            yield (
+                f"route {route.name}: another route has the same host and prefix, "
+                f"{route.host}{route.prefix}"
+            )
         if route.timeout <= 0:
-            yield f"route {route.name}: a timeout of 0"
+            yield f"route {route.name}: the timeout must be above 0"
         if any(target.weight < 0 for target in route.targets):
-            yield f"route {route.name}: a weight below 0"
+            yield f"route {route.name}: a target has a negative weight"
         if sum(target.weight for target in route.targets) <= 0:
-            yield f"route {route.name}: the weights add up to 0"
+            yield f"route {route.name}: the sum of the target weights must be above 0"
         for target in route.targets:
             if target.service not in services:
                 yield f"route {route.name}: unknown service {target.service}"
-    keys = Counter(key for org in config.organisations for key in set(org.keys))
+    key_counts = Counter(key for org in config.organisations for key in set(org.keys))
     for organisation in config.organisations:
-        if any(keys[key] > 1 for key in organisation.keys):
-            yield f"organisation {organisation.name}: another organisation has one of its keys"
+        if any(key_counts[key] > 1 for key in organisation.keys):
+            yield (
+                f"organisation {organisation.name}: one of its keys belongs to another "
+                "organisation too"
+            )
 
 
 @dataclass
 class RoutingTable:
-    """Look-ups in one configuration.
+    """Indexes one configuration by host, prefix and API key.
 
     :param config: the configuration.
+    :param services: the services by name.
     """
 
     config: RoutingConfig
@@ -196,9 +204,9 @@
             self._keys.update(dict.fromkeys(organisation.keys, organisation))
 
     def match(self, host: str, path: str) -> RouteRule | Failure:
-        """Return the route with the longest prefix of a path.
+        """Return the route with the longest matching prefix.
 
-        :param host: the host asked for, with or without a port.
+        :param host: host of the request, with or without a port.
         :param path: the path, without the query.
         """
         prefixes = self._hosts.get(host.rpartition(":")[0].lower() or host.lower())
@@ -212,24 +220,24 @@
         return Failure(FailureKind.UNKNOWN_ROUTE, f"no route for {host}{path}")
 
     def identify(self, key: str) -> OrganisationRule | Failure:
-        """Return the organisation that holds a key.
+        """Return the organisation that an API key belongs to.
 
-        :param key: the key.
+        :param key: the API key.
         """
         found = self._keys.get(key)
         if found is None:
-            return Failure(FailureKind.UNAUTHENTICATED, "no organisation holds this key")
+            return Failure(FailureKind.UNAUTHENTICATED, "unknown API key")
         return found
 
     def pick_service(self, route: RouteRule, draw: float) -> str:
-        """Return the service that a request goes to, by the route's weights.
+        """Choose the service for a request by the weights of its route.
 
         :param route: the route.
-        :param draw: a random number from 0 up to 1.
+        :param draw: a random number from 0 (inclusive) to 1 (exclusive).
         """
-        place = draw * sum(target.weight for target in route.targets)
+        remaining = draw * sum(target.weight for target in route.targets)
         for target in route.targets:
-            place -= target.weight
-            if place < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         return route.targets[-1].service
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""Tests of delivery: each token once, in order, of one generation."""
+"""Tests of delivery: tokens of one generation, each once and in order."""
 
 import unittest
 
@@ -10,37 +10,37 @@
 
 
 class DeliveryTest(unittest.TestCase):
-    def test_delivers_each_index_once(self) -> None:
+    def test_each_index_is_delivered_once(self) -> None:
         delivery = Delivery("g")
         verdicts = [delivery.judge(Frame("g", i, b"")) for i in (0, 0, 1, 0, 1, 2)]
-        kept = [v for v in verdicts if v is Verdict.DELIVER]
-        self.assertEqual((len(kept), delivery.next_index), (3, 3))
+        delivered = [v for v in verdicts if v is Verdict.DELIVER]
+        self.assertEqual((len(delivered), delivery.next_index), (3, 3))
 
-    def test_drops_frames_of_other_generations(self) -> None:
+    def test_frames_of_other_generations_are_dropped(self) -> None:
         delivery = Delivery("g", 4)
         self.assertIs(delivery.judge(Frame("h", 4, b"")), Verdict.DROP)
         self.assertEqual(delivery.next_index, 4)
 
-    def test_stops_at_a_gap(self) -> None:
+    def test_skipped_index_is_a_gap(self) -> None:
         delivery = Delivery("g")
         self.assertIs(delivery.judge(Frame("g", 1, b"")), Verdict.GAP)
         self.assertEqual(delivery.next_index, 0)
 
-    def test_an_end_that_overtook_tokens_is_a_gap(self) -> None:
+    def test_end_frame_with_missing_tokens_is_a_gap(self) -> None:
         delivery = Delivery("g", 2)
         self.assertIs(delivery.judge(Frame("g", 3, b"", end=True)), Verdict.GAP)
         self.assertIs(delivery.judge(Frame("g", 2, b"", end=True)), Verdict.END)
 
     @given(st.lists(st.tuples(st.sampled_from("gh"), st.integers(0, 8)), max_size=60))
-    def test_any_order_of_frames_gives_a_run_without_gaps(self, frames: list) -> None:
+    def test_frames_in_any_order_are_delivered_without_gaps(self, frames: list) -> None:
         delivery = Delivery("g")
-        out = [i for g, i in frames if delivery.judge(Frame(g, i, b"")) is Verdict.DELIVER]
-        self.assertEqual(out, list(range(len(out))))
+        delivered = [i for g, i in frames if delivery.judge(Frame(g, i, b"")) is Verdict.DELIVER]
+        self.assertEqual(delivered, list(range(len(delivered))))
 
 
-class FramesTest(unittest.TestCase):
+class FrameParsingTest(unittest.TestCase):
     @given(st.integers(1, 40), st.integers(0, 12))
-    def test_chunks_of_any_size_give_the_same_frames(self, size: int, count: int) -> None:
+    def test_frames_do_not_depend_on_chunk_size(self, size: int, count: int) -> None:
         raw = b"".join(make_frame("u.g", i, f"t{i} ") for i in range(count))
         raw += b": keepalive\n\n" + make_end("u.g", count)
         buffer = bytearray()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes, and its first failures."""
+"""End-to-end tests of requests through separate processes, and of faulty engines."""
 
 import anyio
 import httpx
@@ -13,7 +13,7 @@
 class PathTest(SiteTest):
     SPEED = 4.0
 
-    def test_each_token_once_and_in_order(self) -> None:
+    def test_tokens_are_delivered_once_and_in_order(self) -> None:
         parts = generate(self.make_caller("danube-barges"), "bulletin", "a #tokens=200")
         generation = self.check_whole(parts, 200)
         record = self.get_record()["generations"][generation]
@@ -22,20 +22,20 @@
 
     def test_a_caller_resumes_elsewhere_when_its_entry_is_killed(self) -> None:
         caller = self.make_caller("danube-barges")
-        killed: list[str] = []
+        killed_entries: list[str] = []
 
         async def ask() -> list[CallerPart]:
             parts: list[CallerPart] = []
             async for part in caller.generate("bulletin", "a #tokens=300"):
                 parts.append(part)
-                if len(parts) == 50 and not killed:
-                    killed.append(self.kill_serving_entry())
+                if len(parts) == 50 and not killed_entries:
+                    killed_entries.append(self.kill_serving_entry())
             await caller.close()
             return parts
 
         self.check_whole(anyio.run(ask), 300)
         self.assertGreaterEqual(caller.resumes, 1)
-        self.assertEqual(len(killed), 1)
+        self.assertEqual(len(killed_entries), 1)
         self.assertEqual(len(self.get_record()["runs"]), 1)
 
     def kill_serving_entry(self) -> str:
@@ -45,22 +45,25 @@
                 return settings.name
         raise AssertionError("no entry serves the stream")
 
-    def test_bad_requests_get_typed_refusals_and_the_process_goes_on(self) -> None:
+    def test_invalid_requests_get_typed_problems_and_the_entry_keeps_serving(self) -> None:
         url = f"{self.site.entries[0].url}/v1/completions"
         token = {"authorization": f"Bearer {get_token('danube-barges')}"}
-        good = {"route": "bulletin", "prompt": "x"}
+        valid_body = {"route": "bulletin", "prompt": "x"}
         cases = (
             ("bad-request", {"content": b"{", "headers": token}),
             ("bad-request", {"json": {"route": 1, "prompt": "x"}, "headers": token}),
             ("bad-request", {"json": {"route": "bulletin", "prompt": ""}, "headers": token}),
-            ("bad-request", {"json": {**good, "colour": 1}, "headers": token}),
+            ("bad-request", {"json": {**valid_body, "colour": 1}, "headers": token}),
             ("too-large", {"content": b"x" * 1_200_000, "headers": token}),
-            ("unauthenticated", {"json": good}),
-            ("unauthenticated", {"json": good, "headers": {"authorization": "Bearer wrong"}}),
-            ("unknown-route", {"json": {**good, "route": "nowhere"}, "headers": token}),
-            ("unknown-route", {"json": {**good, "route": "ledger-draft"}, "headers": token}),
-            ("deadline-passed", {"json": good, "headers": {**token, "x-deadline-seconds": "0"}}),
-            ("bad-request", {"json": good, "headers": {**token, "last-event-id": "a.b.c:1"}}),
+            ("unauthenticated", {"json": valid_body}),
+            ("unauthenticated", {"json": valid_body, "headers": {"authorization": "Bearer wrong"}}),
+            ("unknown-route", {"json": {**valid_body, "route": "nowhere"}, "headers": token}),
+            ("unknown-route", {"json": {**valid_body, "route": "ledger-draft"}, "headers": token}),
+            (
+                "deadline-passed",
+                {"json": valid_body, "headers": {**token, "x-deadline-seconds": "0"}},
+            ),
+            ("bad-request", {"json": valid_body, "headers": {**token, "last-event-id": "a.b.c:1"}}),
         )
         for title, arguments in cases:
             response = httpx.post(url, trust_env=False, timeout=10, **arguments)
@@ -70,14 +73,14 @@
         self.assertEqual(self.get_record()["runs"], [])
         self.check_whole(generate(self.make_caller("danube-barges"), "bulletin", "#tokens=5"), 5)
 
-    def test_work_that_may_not_be_repeated_needs_a_key(self) -> None:
+    def test_non_repeatable_route_requires_an_idempotency_key(self) -> None:
         url = f"{self.site.entries[0].url}/v1/completions"
         token = {"authorization": f"Bearer {get_token('herders')}"}
         body = {"route": "gate-check-in", "prompt": "x"}
         response = httpx.post(url, trust_env=False, json=body, headers=token)
         self.assertEqual(response.json()["title"], "bad-request")
 
-    def test_an_organisation_cannot_resume_another_ones_generation(self) -> None:
+    def test_organisation_cannot_resume_a_generation_of_another(self) -> None:
         parts = generate(self.make_caller("danube-barges"), "bulletin", "#tokens=5")
         generation = self.check_whole(parts, 5)
         url = f"{self.site.entries[0].url}/v1/completions"
@@ -88,13 +91,13 @@
         response = httpx.post(url, trust_env=False, json={}, headers=headers)
         self.assertEqual(response.json()["title"], "bad-request")
 
-    def test_plain_services(self) -> None:
+    def test_plain_service_gets_the_path_below_its_prefix(self) -> None:
         url = f"{self.site.entries[0].url}/services/weather/stations/7?full=1"
         token = {"authorization": f"Bearer {get_token('pass-depots')}"}
         answer = httpx.get(url, trust_env=False, headers=token).json()
         self.assertEqual(answer["path"], "/stations/7")
 
-    def test_a_call_that_may_not_be_repeated_runs_once_under_one_key(self) -> None:
+    def test_non_repeatable_call_runs_once_per_idempotency_key(self) -> None:
         token = {"authorization": f"Bearer {get_token('herders')}", "idempotency-key": "k1"}
         answers = [
             httpx.post(
@@ -106,19 +109,19 @@
         plain = next(p for p in self.site.plain if p.service == "herder-app")
         self.assertEqual(get_json(f"http://{plain.address}/record")["calls"], ["k1"])
 
-    def test_one_key_at_three_entries_at_once_runs_once(self) -> None:
+    def test_concurrent_requests_with_one_key_at_three_entries_run_once(self) -> None:
         async def ask_all() -> list[list[CallerPart]]:
             results: list[list[CallerPart]] = []
 
-            async def ask(place: int) -> None:
-                caller = self.make_caller("herders", place)
+            async def ask(entry_number: int) -> None:
+                caller = self.make_caller("herders", entry_number)
                 parts = [p async for p in caller.generate("gate-check-in", "#tokens=9", "key-1")]
                 await caller.close()
                 results.append(parts)
 
             async with anyio.create_task_group() as tasks:
-                for place in range(3):
-                    tasks.start_soon(ask, place)
+                for entry_number in range(3):
+                    tasks.start_soon(ask, entry_number)
             return results
 
         generations = {self.check_whole(parts, 9) for parts in anyio.run(ask_all)}
@@ -126,7 +129,7 @@
         runs = self.get_record(1)["runs"]
         self.assertEqual(len(runs), 1)
 
-    def test_an_organisations_limit_holds_across_entries(self) -> None:
+    def test_organisation_limit_holds_across_entries(self) -> None:
         operator = self.make_operator("stoyanov")
         token = hash_token("limited-token")
         record = Organisation("limited", "stoyanov", token, most_running=2)
@@ -148,17 +151,17 @@
                     tasks.start_soon(ask, number)
             return statuses
 
-        def ask_round() -> bool:
+        def ask_in_parallel() -> bool:
             statuses = anyio.run(ask_all)
             self.assertLessEqual(set(statuses), {200, 429})
             self.assertLessEqual(statuses.count(200), 2)
             return statuses.count(200) == 2
 
-        # A new counter gives no slot until it has learned those that are held.
-        wait_for(ask_round, "two slots")
-        wait_for(ask_round, "the slots to come back")
+        # A new counter grants no slot while it waits for reports of the slots that are held.
+        wait_for(ask_in_parallel, "two slots")
+        wait_for(ask_in_parallel, "the slots to be released")
 
-    def test_the_same_key_with_another_request_conflicts(self) -> None:
+    def test_key_reused_for_another_request_conflicts(self) -> None:
         caller = self.make_caller("herders")
         self.check_whole(generate(caller, "gate-check-in", "#tokens=4", "key-2"), 4)
         parts = generate(self.make_caller("herders"), "gate-check-in", "#tokens=5", "key-2")
@@ -172,11 +175,11 @@
         parts = generate(self.make_caller("danube-barges"), "bulletin", f"#tokens={length}")
         self.check_whole(parts, length)
 
-    def test_doubled_and_crossed_frames(self) -> None:
+    def test_duplicate_frames_and_frames_of_another_generation(self) -> None:
         self.set_faults(0, double=True, cross=True)
         self.ask()
 
-    def test_a_frame_left_out(self) -> None:
+    def test_missing_frame(self) -> None:
         self.set_faults(0, skip=20)
         self.ask()
 
@@ -187,7 +190,7 @@
         self.ask()
         self.assertEqual(len(self.get_record()["runs"]), 2)
 
-    def test_an_engine_that_forgets_all_in_the_middle_ends_the_stream_typed(self) -> None:
+    def test_engine_that_loses_its_state_mid_stream_ends_it_as_partial(self) -> None:
         self.set_faults(0, die=20)
         parts = generate(self.make_caller("danube-barges"), "bulletin", "#tokens=60")
         failure = get_failure(parts)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routing configurations: what is refused, and what a request is matched with."""
+"""Tests of routing: validation of configurations, and matching of requests."""
 
 import unittest
 from dataclasses import replace
@@ -39,20 +39,22 @@
     return RoutingConfig(version, routes or (make_route(),), services, organisations)
 
 
-class FaultTest(unittest.TestCase):
-    def test_a_sound_configuration_has_no_fault(self) -> None:
+class ValidationTest(unittest.TestCase):
+    def test_valid_configuration_has_no_error(self) -> None:
         self.assertIsNone(find_fault(make_config()))
 
-    def test_each_fault_is_found_and_names_its_place(self) -> None:
+    def test_each_error_is_found_and_names_its_route(self) -> None:
         route = make_route()
-        faulty = {
+        invalid = {
             "unknown service": replace(route, targets=(Target("x", 1.0),)),
-            "add up to 0": replace(route, targets=(Target("s", 0.0), Target("t", 0.0))),
-            "weight below 0": replace(route, targets=(Target("s", -1.0), Target("t", 3.0))),
-            "timeout of 0": replace(route, timeout=0.0),
-            "slash at both ends": replace(route, prefix="/a"),
+            "sum of the target weights must be above 0": replace(
+                route, targets=(Target("s", 0.0), Target("t", 0.0))
+            ),
+            "has a negative weight": replace(route, targets=(Target("s", -1.0), Target("t", 3.0))),
+            "timeout must be above 0": replace(route, timeout=0.0),
+            "must start and end with a slash": replace(route, prefix="/a"),
         }
-        for reason, changed in faulty.items():
+        for reason, changed in invalid.items():
             with self.subTest(reason):
                 found = find_fault(make_config(changed))
                 assert found is not None
@@ -60,22 +62,22 @@
                 self.assertIn(reason, found.reason)
                 self.assertIn("route r", found.reason)
 
-    def test_two_routes_at_one_place_are_refused(self) -> None:
+    def test_routes_with_equal_host_and_prefix_are_rejected(self) -> None:
         found = find_fault(make_config(make_route("a"), make_route("b")))
         assert found is not None
-        self.assertIn("another route", found.reason)
+        self.assertIn("another route has the same host and prefix", found.reason)
 
-    def test_a_key_of_two_organisations_is_refused(self) -> None:
+    def test_key_of_two_organisations_is_rejected(self) -> None:
         config = make_config()
         other = OrganisationRule("p", ("k2",), None)
         found = find_fault(replace(config, organisations=(*config.organisations, other)))
         assert found is not None
         self.assertIn("one of its keys", found.reason)
 
-    def test_a_key_that_one_organisation_lists_twice_is_no_fault(self) -> None:
+    def test_key_listed_twice_by_one_organisation_is_accepted(self) -> None:
         config = make_config()
-        twice = OrganisationRule("o", ("k1", "k1"), None)
-        self.assertIsNone(find_fault(replace(config, organisations=(twice,))))
+        organisation = OrganisationRule("o", ("k1", "k1"), None)
+        self.assertIsNone(find_fault(replace(config, organisations=(organisation,))))
 
 
 class MatchTest(unittest.TestCase):
@@ -87,21 +89,21 @@
         found = self.table.match(host, path)
         return found.kind if isinstance(found, Failure) else found.name
 
-    def test_the_longest_prefix_wins(self) -> None:
+    def test_longest_prefix_wins(self) -> None:
         self.assertEqual(self.match("h.example", "/a/x"), "short")
         self.assertEqual(self.match("h.example", "/a/b/x"), "long")
         self.assertEqual(self.match("h.example", "/a/b/"), "long")
 
-    def test_a_prefix_ends_at_a_slash(self) -> None:
+    def test_prefix_matches_whole_path_segments(self) -> None:
         self.assertEqual(self.match("h.example", "/a/bx"), "short")
         self.assertEqual(self.match("h.example", "/ab"), FailureKind.UNKNOWN_ROUTE)
         self.assertEqual(self.match("h.example", "/a"), FailureKind.UNKNOWN_ROUTE)
 
-    def test_hosts_are_told_apart_without_port_and_case(self) -> None:
+    def test_host_match_ignores_port_and_case(self) -> None:
         self.assertEqual(self.match("H.Example:8740", "/a/"), "short")
         self.assertEqual(self.match("other.example", "/a/"), FailureKind.UNKNOWN_ROUTE)
 
-    def test_keys_name_their_organisation(self) -> None:
+    def test_keys_identify_their_organisation(self) -> None:
         found = self.table.identify("k2")
         assert not isinstance(found, Failure)
         self.assertEqual(found.name, "o")
@@ -109,7 +111,7 @@
         assert isinstance(unknown, Failure)
         self.assertIs(unknown.kind, FailureKind.UNAUTHENTICATED)
 
-    def test_weights_split_a_route(self) -> None:
+    def test_requests_are_split_by_weight(self) -> None:
         route = replace(make_route(), targets=(Target("s", 90), Target("t", 10), Target("s", 0)))
         picked = [self.table.pick_service(route, draw / 100) for draw in range(100)]
         self.assertEqual(picked.count("s"), 90)
