--- a/src/daleroad/entry.py
+++ b/src/daleroad/entry.py
@@ -50,7 +50,7 @@
 from daleroad.settings import OnLostControl, Settings
 from daleroad.stewardship import Stewardship
 
-_DRAIN_CHECK_SECONDS = 0.1
+_DRAIN_POLL_SECONDS = 0.1
 _MIN_REMAINING_SECONDS = 0.3
 """With less time left before its end an entry refuses callers' requests, resumed streams included;
 a few round trips."""
@@ -117,7 +117,7 @@
 
     async def _wait_idle(self) -> None:
         while self._requests or self.env.inflight:
-            await anyio.sleep(_DRAIN_CHECK_SECONDS)
+            await anyio.sleep(_DRAIN_POLL_SECONDS)
 
     def stop(self) -> None:
         """Stop serving without waiting for requests."""
--- a/src/daleroad/relay.py
+++ b/src/daleroad/relay.py
@@ -82,12 +82,12 @@
     random: Random
     resumes: int = 0
 
-    async def start(self, order: EngineCompletion) -> AsyncGenerator[Part, None]:
+    async def start(self, completion: EngineCompletion) -> AsyncGenerator[Part, None]:
         """Dispatch a generation and yield its parts.
 
-        :param order: the request for the engine; it is sent once and never retried.
+        :param completion: the request for the engine; it is sent once and never retried.
         """
-        first = self._stream_response("POST", "/v1/completions", encode(order))
+        first = self._stream_response("POST", "/v1/completions", encode(completion))
         async with aclosing(self._read_with_resumes(first)) as parts:
             async for part in parts:
                 yield part
