--- a/src/daleroad/catalog.py
+++ b/src/daleroad/catalog.py
@@ -1,7 +1,7 @@
-"""The replicated state: records, membership, answers to operations and the audit trail.
+"""State machine of the catalog: records, membership, results of operations and the audit trail.
 
-:meth:`Catalog.apply` is deterministic: the same commands in the same order give the same state
-on each replica and on each entry.
+:meth:`Catalog.apply` is deterministic: the same commands in the same order produce the same state
+on each replica. Entries follow it through the accepted changes, see :meth:`Catalog.follow`.
 """
 
 from collections.abc import Iterator
@@ -31,28 +31,28 @@
 
 @dataclass(frozen=True)
 class SetEntry:
-    """An entry joined or changed."""
+    """Add an entry to the membership, or update it."""
 
     entry: EntryMember
 
 
 @dataclass(frozen=True)
 class DropEntry:
-    """An entry is gone."""
+    """Remove an entry from the membership."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class SetUpstream:
-    """An upstream joined or changed."""
+    """Add an upstream to the membership, or update it."""
 
     upstream: Upstream
 
 
 @dataclass(frozen=True)
 class DropUpstream:
-    """An upstream is gone."""
+    """Remove an upstream from the membership."""
 
     name: str
 
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True)
 class Command:
-    """A change with who asked for it and on what it was based.
+    """A change with its author and the record version that it expects.
 
     :param operation: idempotency key; empty for changes of the membership.
-    :param base: version of the record it was based on; 0 creates.
+    :param base: expected current version of the record; 0 if it should not exist.
     :param at: seconds since the epoch on the proposing leader's clock, for the audit trail.
     """
 
@@ -79,7 +79,13 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """The answer to a command. ``version`` is the record's version afterwards."""
+    """The result of a command.
+
+    :param version: the record's version afterwards, or the log index of a membership change; 0 if
+        the change is forbidden.
+    :param failure: why the command was rejected.
+    :param current: the stored record, after a version conflict.
+    """
 
     version: int
     failure: Failure | None = None
@@ -93,7 +99,7 @@
 
 @dataclass(frozen=True)
 class AuditRow:
-    """Who tried what and when, and how it ended."""
+    """A row of the audit trail; ``outcome`` is ``accepted`` or the kind of failure."""
 
     index: int
     at: float
@@ -106,15 +112,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Versioned:
-    """A record with the log index that last changed it."""
+    """A record with the log index of its last change."""
 
     record: Record
     version: int
 
 
 @dataclass(frozen=True)
-class Answered:
-    """An operation that was answered, with the text of its change."""
+class CompletedOperation:
+    """A completed operation, kept so that a repeated request gets the same result.
+
+    :param operation: idempotency key.
+    :param change: the encoded change, to detect reuse of the key for another one.
+    :param outcome: the first result.
+    """
 
     operation: str
     change: str
@@ -123,14 +134,14 @@
 
 @dataclass(frozen=True)
 class CatalogState:
-    """All of a catalog, as it is saved and sent."""
+    """The serialised form of a catalog, in snapshots and in answers to entries."""
 
     revision: int
     epoch: int
     records: tuple[Versioned, ...]
     entries: tuple[EntryMember, ...]
     upstreams: tuple[Upstream, ...]
-    answered: tuple[Answered, ...]
+    answered: tuple[CompletedOperation, ...]
     audit: tuple[AuditRow, ...]
 
 
@@ -139,11 +150,15 @@
 
 @dataclass
 class Catalog:
-    """The state and the rules by which commands change it.
-
-    ``revision`` is the index of the last command, ``changed`` that of the last one that had an
-    effect, ``epoch`` that of the last change of the entries in the membership, and ``placed``
-    that of the last change of the upstreams. ``by_token`` finds organisations by token hash.
+    """The catalog and the rules by which commands change it.
+
+    :ivar revision: log index of the last command.
+    :ivar changed: log index of the last command that changed the state.
+    :ivar epoch: log index of the last change of the entries in the membership.
+    :ivar placed: log index of the last change of the upstreams.
+    :ivar by_token: organisations by token hash.
+    :ivar records: records by the name of their class, then by their own name.
+    :ivar answered: completed operations by idempotency key, oldest first.
     """
 
     revision: int = 0
@@ -154,11 +169,11 @@
     records: dict[str, dict[str, Versioned]] = field(default_factory=dict)
     entries: dict[str, EntryMember] = field(default_factory=dict)
     upstreams: dict[str, Upstream] = field(default_factory=dict)
-    answered: dict[str, Answered] = field(default_factory=dict)
+    answered: dict[str, CompletedOperation] = field(default_factory=dict)
     audit: list[AuditRow] = field(default_factory=list)
 
     def get(self, type_name: str, name: str) -> Record | None:
-        """Return a record or nothing.
+        """Return a record, or ``None`` if it does not exist.
 
         :param type_name: the record's class name.
         :param name: the record's name.
@@ -174,29 +189,33 @@
         yield from self.records.get(type_name, {}).values()
 
     def apply(self, index: int, command: Command) -> Outcome:
-        """Apply one command and return its outcome.
+        """Apply a committed command and return its outcome.
+
+        A repeated operation returns its first outcome and changes nothing.
 
-        :param index: its index in the log.
+        :param index: log index of the command.
         :param command: the command.
         """
         if index <= self.revision:
-            return Outcome(self.revision, Failure(FailureKind.CONFLICT, "applied already"))
+            return Outcome(
+                self.revision, Failure(FailureKind.CONFLICT, "log index was already applied")
+            )
         self.revision = index
         if not command.operation:
-            return self._apply_member(index, command.change)
+            return self._apply_membership_change(index, command.change)
         text = encode(command.change, Change).decode()
         known = self.answered.get(command.operation)
         if known is not None:
-            return self._answer_again(known, text)
-        outcome = self._apply_record(index, command)
-        self._remember(index, command, text, outcome)
+            return self._repeat_outcome(known, text)
+        outcome = self._apply_record_change(index, command)
+        self._record_operation(index, command, text, outcome)
         return outcome
 
     def follow(self, index: int, change: Change) -> None:
-        """Take over the effect of a command that the log accepted.
+        """Apply a change that the leader accepted, without validating it.
 
-        :param index: the command's index; older ones than the revision are passed over.
-        :param change: the command's change.
+        :param index: log index of the command; ignored if not above the current revision.
+        :param change: the change of the command.
         """
         if index <= self.revision:
             return
@@ -207,12 +226,12 @@
             case Remove(type_name, name):
                 self.store(index, type_name, name, None)
             case _:
-                self._apply_member(index, change)
+                self._apply_membership_change(index, change)
 
     def dump(self, whole: bool = True) -> str:
-        """Return the state as text.
+        """Return the serialised state.
 
-        :param whole: with answers and audit trail; entries need neither.
+        :param whole: include completed operations and the audit trail, which entries do not need.
         """
         records = tuple(v for kind in self.records.values() for v in kind.values())
         state = CatalogState(
@@ -227,9 +246,9 @@
         return encode(state).decode()
 
     def load(self, text: str) -> None:
-        """Replace the state by a dumped one.
+        """Replace the state with a serialised one.
 
-        :param text: what :meth:`dump` gave.
+        :param text: output of :meth:`dump`.
         """
         state: CatalogState = decode(CatalogState, text)
         self.revision = state.revision
@@ -248,7 +267,7 @@
         self.answered = {answered.operation: answered for answered in state.answered}
         self.audit = list(state.audit)
 
-    def _apply_member(self, index: int, change: Change) -> Outcome:
+    def _apply_membership_change(self, index: int, change: Change) -> Outcome:
         self.changed = index
         match change:
             case SetEntry(entry):
@@ -265,7 +284,7 @@
                 self.upstreams.pop(name, None)
         return Outcome(index)
 
-    def _apply_record(self, index: int, command: Command) -> Outcome:
+    def _apply_record_change(self, index: int, command: Command) -> Outcome:
         change = command.change
         match change:
             case Put(record):
@@ -275,68 +294,68 @@
             case _:
                 return Outcome(0, Failure(FailureKind.FORBIDDEN, "not an operator's change"))
         known = self.records.get(type_name, {}).get(name)
-        owners = {partner or command.partner, known.record.partner if known else command.partner}
-        if owners != {command.partner}:
+        partners = {partner or command.partner, known.record.partner if known else command.partner}
+        if partners != {command.partner}:
             return Outcome(0, Failure(FailureKind.FORBIDDEN, "not this partner's record"))
         version = known.version if known else 0
         if command.base != version:
             reason = f"based on version {command.base}, the record has {version}"
             failure = Failure(FailureKind.CONFLICT, reason)
             return Outcome(version, failure, known.record if known else None)
-        record_or_none = change.record if isinstance(change, Put) else None
-        fault = find_fault(self, type_name, name, record_or_none)
-        if fault is not None:
-            return Outcome(version, fault)
-        self.store(index, type_name, name, record_or_none)
+        new_record = change.record if isinstance(change, Put) else None
+        rejection = find_fault(self, type_name, name, new_record)
+        if rejection is not None:
+            return Outcome(version, rejection)
+        self.store(index, type_name, name, new_record)
         return Outcome(index)
 
     def store(self, index: int, type_name: str, name: str, record: Record | None) -> None:
-        """Set or remove a record without any check.
+        """Set or remove a record without validation.
 
-        :param index: the record's version.
-        :param type_name: its class name.
-        :param name: its name.
-        :param record: the record, or nothing to remove it.
+        :param index: the new version of the record.
+        :param type_name: the record's class name.
+        :param name: the record's name.
+        :param record: the record, or ``None`` to remove it.
         """
         self.changed = index
-        table = self.records.setdefault(type_name, {})
-        known = table.get(name)
+        records = self.records.setdefault(type_name, {})
+        known = records.get(name)
         if known is not None and isinstance(known.record, Organisation):
             self.by_token.pop(known.record.token_hash, None)
         if isinstance(record, Organisation):
             self.by_token[record.token_hash] = record
         if record is None:
-            table.pop(name, None)
+            records.pop(name, None)
         else:
-            table[name] = Versioned(record, index)
+            records[name] = Versioned(record, index)
 
-    def _answer_again(self, known: Answered, text: str) -> Outcome:
+    def _repeat_outcome(self, known: CompletedOperation, text: str) -> Outcome:
         if known.change == text:
             return known.outcome
-        reason = "this operation was used for another change"
+        reason = "operation id was already used for a different change"
         return Outcome(known.outcome.version, Failure(FailureKind.KEY_CONFLICT, reason))
 
-    def _remember(self, index: int, command: Command, text: str, outcome: Outcome) -> None:
-        self.answered[command.operation] = Answered(command.operation, text, outcome)
+    def _record_operation(self, index: int, command: Command, text: str, outcome: Outcome) -> None:
+        self.answered[command.operation] = CompletedOperation(command.operation, text, outcome)
         if len(self.answered) > OPERATIONS_KEPT:
             del self.answered[next(iter(self.answered))]
-        verdict = "accepted" if outcome.failure is None else outcome.failure.kind.value
+        result = "accepted" if outcome.failure is None else outcome.failure.kind.value
         row = AuditRow(
             index,
             command.at,
             command.operator,
             command.partner,
             command.operation,
-            _redact(command.change),
-            verdict,
+            _summarise_change(command.change),
+            result,
         )
         self.audit.append(row)
         if len(self.audit) > AUDIT_KEPT:
             del self.audit[0]
 
 
-def _redact(change: Change) -> str:
-    """Return a change in one line, without token hashes."""
+def _summarise_change(change: Change) -> str:
+    """Return a one-line summary of a change that contains no token hash."""
     match change:
         case Put(record):
             return f"put {type(record).__name__} {record.name}"
--- a/src/daleroad/catalogstate.py
+++ b/src/daleroad/catalogstate.py
@@ -1,4 +1,7 @@
-"""The catalog as a state driven by a replicated log."""
+"""Adapter that runs the catalog as a state machine of the replicated log.
+
+It also keeps the recent changes, so that entries can be sent only those that they lack.
+"""
 
 from collections import deque
 from collections.abc import Iterator
@@ -9,59 +12,62 @@
 from daleroad.events import Event, log_event
 from daleroad.messages import Effective
 
-_TAIL_MOST = 4096
-"""Changes kept for entries that follow; one that is further behind is sent the whole catalog."""
+_MAX_TAIL_CHANGES = 4096
+"""Recent changes kept for entries; an entry that is further behind is sent the whole catalog."""
 
 
 class CatalogMachine:
-    """The catalog as a state driven by a log, with the tail of changes that entries follow."""
+    """The catalog with the tail of recent changes that is sent to entries.
+
+    :ivar catalog: the current state.
+    """
 
     def __init__(self) -> None:
         self.catalog = Catalog()
-        self.tail: deque[Effective] = deque(maxlen=_TAIL_MOST)
-        self.tail_from = 0
+        self._tail: deque[Effective] = deque(maxlen=_MAX_TAIL_CHANGES)
+        self._tail_start = 0
 
     def apply_payload(self, index: int, payload: str) -> Any:
-        """Apply a committed command given as text.
+        """Apply a committed command and return its outcome.
 
-        :param index: its index in the log.
-        :param payload: the command.
+        :param index: log index of the command.
+        :param payload: the encoded command.
         """
         command: Command = decode(Command, payload)
         outcome = self.catalog.apply(index, command)
         if self.catalog.changed == index:
-            if len(self.tail) == _TAIL_MOST:
-                self.tail_from = self.tail[0].index
-            self.tail.append(Effective(index, command.change))
-        verdict = outcome.failure.kind.value if outcome.failure else "accepted"
+            if len(self._tail) == _MAX_TAIL_CHANGES:
+                self._tail_start = self._tail[0].index
+            self._tail.append(Effective(index, command.change))
+        result = outcome.failure.kind.value if outcome.failure else "accepted"
         if command.operation:
-            log_event(Event.CHANGE_APPLIED, index=index, by=command.operator, outcome=verdict)
+            log_event(Event.CHANGE_APPLIED, index=index, by=command.operator, outcome=result)
         return outcome
 
     def dump(self) -> str:
-        """Return the state as text."""
+        """Return the serialised state."""
         return self.catalog.dump()
 
     def load(self, text: str) -> None:
-        """Replace the state by a dumped one.
+        """Replace the state with a serialised one.
 
-        :param text: what :meth:`dump` gave.
+        :param text: output of :meth:`dump`.
         """
         self.catalog.load(text)
-        self.tail.clear()
-        self.tail_from = self.catalog.revision
+        self._tail.clear()
+        self._tail_start = self.catalog.revision
 
     def list_changes(self, after: int) -> tuple[Effective, ...] | None:
-        """Return the effective changes after a revision, or nothing if the tail is too short.
+        """Return the changes after a revision, or ``None`` if some are no longer kept.
 
         :param after: the revision.
         """
-        if after < self.tail_from:
+        if after < self._tail_start:
             return None
-        return tuple(reversed(list(self._list_newest(after))))
+        return tuple(reversed(list(self._iterate_backwards(after))))
 
-    def _list_newest(self, after: int) -> Iterator[Effective]:
-        for effective in reversed(self.tail):
-            if effective.index <= after:
+    def _iterate_backwards(self, after: int) -> Iterator[Effective]:
+        for change in reversed(self._tail):
+            if change.index <= after:
                 return
-            yield effective
+            yield change
--- a/src/daleroad/control.py
+++ b/src/daleroad/control.py
@@ -38,7 +38,7 @@
     MembershipRequest,
 )
 from daleroad.operators import OperatorFace
-from daleroad.ordering import Ordering
+from daleroad.ordering import OrderSender
 from daleroad.records import Operator
 from daleroad.roster import Roster
 from daleroad.security import check_peer
@@ -338,7 +338,7 @@
 
     async def _watch(self, tasks: TaskGroup) -> None:
         """Keep roster and orders while this member leads; drop entries whose lease ran out."""
-        ordering = Ordering(self.settings, self.links, self.machine.catalog, 0.0)
+        order_sender = OrderSender(self.settings, self.links, self.machine.catalog, 0.0)
         while True:
             await anyio.sleep(_WATCH_SECONDS)
             if not self.group.is_leading():
@@ -347,8 +347,8 @@
             now = anyio.current_time()
             if self.roster is None:
                 self.roster = Roster(self.settings.entry_lease, now)
-                ordering = Ordering(self.settings, self.links, self.machine.catalog, now)
-            ordering.send_due(tasks, now)
+                order_sender = OrderSender(self.settings, self.links, self.machine.catalog, now)
+            order_sender.send_due(tasks, now)
             for name in list(self.roster.list_expired(self.machine.catalog.entries, now)):
                 if name not in self._proposing:
                     self._proposing.add(name)
--- a/src/daleroad/documents.py
+++ b/src/daleroad/documents.py
@@ -1,21 +1,26 @@
-"""The last few routing configurations, so that followers are told what differs. Pure."""
+"""Recent versions of the routing configuration, from which followers are sent patches.
+
+No I/O.
+"""
 
 from dataclasses import dataclass, field
 
 from daleroad.patches import Patch, make_patch
 from daleroad.siterecord import Document
 
-DOCUMENTS_KEPT = 6
-"""Configurations that followers may still serve by; when changes come one after the other a gateway
-is one or two behind."""
+MAX_KEPT_VERSIONS = 6
+"""Versions kept as bases of patches. During a series of changes, a gateway is one or two versions
+behind."""
 
 
 @dataclass(frozen=True)
-class DocumentNews:
-    """A newer configuration for a follower: whole, or as what differs from its own.
+class DocumentUpdate:
+    """A newer configuration for a follower, as full text or as a patch.
+
+    Both are ``None`` if the follower is up to date.
 
-    :param document: its text, if it is told whole.
-    :param patch: what differs, if the follower's is known here.
+    :param document: the full text.
+    :param patch: the patch to the follower's version.
     """
 
     document: str | None = None
@@ -24,33 +29,35 @@
 
 @dataclass
 class DocumentHistory:
-    """The configurations that came into force here."""
+    """The last configurations that took effect, with patches from older ones to the newest."""
 
-    _kept: dict[int, str] = field(default_factory=dict)
+    _texts: dict[int, str] = field(default_factory=dict)
     _patches: dict[int, Patch] = field(default_factory=dict)
 
     def note(self, document: Document) -> None:
-        """Take in the newest configuration.
+        """Add the newest configuration; evicts the oldest versions and all cached patches.
 
         :param document: the configuration.
         """
-        self._kept[document.version] = document.text
-        for version in sorted(self._kept)[:-DOCUMENTS_KEPT]:
-            del self._kept[version]
+        self._texts[document.version] = document.text
+        for version in sorted(self._texts)[:-MAX_KEPT_VERSIONS]:
+            del self._texts[version]
         self._patches.clear()
 
-    def tell(self, document: Document, version: int, whole: bool) -> DocumentNews:
-        """Return what a follower should be told.
+    def tell(self, document: Document, version: int, whole: bool) -> DocumentUpdate:
+        """Return the update that a follower needs.
+
+        The text is sent in full if the follower's version is no longer kept.
 
         :param document: the newest configuration.
-        :param version: the one that the follower has.
-        :param whole: whether it can use nothing but the whole text.
+        :param version: the version that the follower has.
+        :param whole: whether the follower requires the full text.
         """
         if document.version <= version:
-            return DocumentNews()
-        before = self._kept.get(version)
-        if whole or before is None:
-            return DocumentNews(document.text)
+            return DocumentUpdate()
+        base = self._texts.get(version)
+        if whole or base is None:
+            return DocumentUpdate(document.text)
         if version not in self._patches:
-            self._patches[version] = make_patch(version, before, document.text)
-        return DocumentNews(patch=self._patches[version])
+            self._patches[version] = make_patch(version, base, document.text)
+        return DocumentUpdate(patch=self._patches[version])
--- a/src/daleroad/ordering.py
+++ b/src/daleroad/ordering.py
@@ -1,4 +1,4 @@
-"""Sends the leader's orders to engines and reads their state back."""
+"""Delivery of the leader's model orders to engines over HTTP, with their state read back."""
 
 from collections.abc import Iterator
 
@@ -11,53 +11,53 @@
 from daleroad.events import Event, log_event
 from daleroad.links import Links
 from daleroad.messages import EngineOrder, EngineState
-from daleroad.orders import LoadBucket, OrderBook, Wanted
+from daleroad.orders import DesiredModels, LoadBucket, OrderScheduler
 from daleroad.records import ModelVersion, Order, Upstream
 from daleroad.settings import Settings
 
 
-class Ordering:
-    """The orders of one leader, from its election to its end.
+class OrderSender:
+    """Sends the model orders of one leader during its term.
 
     :param settings: limits and leases.
-    :param links: connections.
-    :param catalog: holds the orders and the engines as they report.
-    :param now: when this leader began.
+    :param links: HTTP clients.
+    :param catalog: holds the orders and the registered engines.
+    :param now: when the leader's term began.
     """
 
     def __init__(self, settings: Settings, links: Links, catalog: Catalog, now: float) -> None:
         bucket = LoadBucket(settings.load_rate, settings.load_burst)
-        self._book = OrderBook(now, settings.entry_lease, bucket)
+        self._scheduler = OrderScheduler(now, settings.entry_lease, bucket)
         self._links = links
         self._catalog = catalog
 
     def send_due(self, tasks: TaskGroup, now: float) -> None:
-        """Start to send the orders that are due.
+        """Start sending the orders that are due.
 
-        :param tasks: runs the sending.
+        :param tasks: task group for the requests.
         :param now: the time.
         """
         upstreams = self._catalog.upstreams
-        for wanted in self._book.list_due(self._list_wanted(), upstreams, now):
-            tasks.start_soon(self._send, wanted, upstreams[wanted.upstream])
+        for desired in self._scheduler.list_due(self._list_desired(), upstreams, now):
+            tasks.start_soon(self._send, desired, upstreams[desired.upstream])
 
-    def _list_wanted(self) -> Iterator[Wanted]:
+    def _list_desired(self) -> Iterator[DesiredModels]:
         for versioned in self._catalog.list_records("Order"):
             order = versioned.record
-            if isinstance(order, Order) and self._is_own(order):
-                yield Wanted(order.name, order.models, versioned.version)
+            if isinstance(order, Order) and self._matches_service(order):
+                yield DesiredModels(order.name, order.models, versioned.version)
 
-    def _is_own(self, order: Order) -> bool:
-        """Return whether all ordered model versions are of the engine's own service."""
+    def _matches_service(self, order: Order) -> bool:
+        """Return whether the engine is registered and all ordered models are of its service."""
         upstream = self._catalog.upstreams.get(order.name)
         found = [self._catalog.get("ModelVersion", name) for name in order.models]
         return upstream is not None and all(
             isinstance(model, ModelVersion) and model.service == upstream.service for model in found
         )
 
-    async def _send(self, wanted: Wanted, upstream: Upstream) -> None:
-        log_event(Event.ORDER_SENT, upstream=wanted.upstream, fencing=wanted.fencing)
-        body = encode(EngineOrder(wanted.fencing, wanted.models))
+    async def _send(self, desired: DesiredModels, upstream: Upstream) -> None:
+        log_event(Event.ORDER_SENT, upstream=desired.upstream, fencing=desired.fencing)
+        body = encode(EngineOrder(desired.fencing, desired.models))
         state: EngineState | None = None
         try:
             await self._links.short.post(f"{upstream.address}/v1/orders", content=body)
@@ -65,6 +65,6 @@
             found = decode(EngineState, answer.content)
             state = None if isinstance(found, Failure) else found
         except httpx.HTTPError as error:
-            log_event(Event.ORDER_FAILED, upstream=wanted.upstream, error=repr(error))
-        if self._book.settle(wanted, state):
-            log_event(Event.ORDER_SETTLED, upstream=wanted.upstream, fencing=wanted.fencing)
+            log_event(Event.ORDER_FAILED, upstream=desired.upstream, error=repr(error))
+        if self._scheduler.confirm(desired, state):
+            log_event(Event.ORDER_SETTLED, upstream=desired.upstream, fencing=desired.fencing)
--- a/src/daleroad/orders.py
+++ b/src/daleroad/orders.py
@@ -1,9 +1,9 @@
-"""Orders to engines: which to send next, and when one is settled. Pure.
+"""Scheduling of model orders to engines: which to send next, and when one is fulfilled. No I/O.
 
 The leader sends orders with a fencing number from the log. Some engines ignore the number, so a
-new leader sends none until its predecessor's lease has surely run out, there is one order under
-way for each engine, and the engine's state is read back until it matches. Loads take from the
-rate-limited weight store, so they obey a token bucket.
+new leader sends none until its predecessor's lease must have expired, each engine has at most one
+order in progress, and its state is read back until it matches. Model loads read from the
+rate-limited weight store and are limited by a token bucket.
 """
 
 from collections.abc import Iterable, Iterator
@@ -12,14 +12,17 @@
 from daleroad.messages import EngineState
 from daleroad.records import Upstream
 
-_AGAIN_SECONDS = 2.0
+_RETRY_SECONDS = 2.0
+"""Time after which an order that was not confirmed is sent again."""
 
 
 @dataclass(frozen=True)
-class Wanted:
+class DesiredModels:
     """The model versions that an engine should have loaded.
 
-    :param fencing: log index of the change that asked for it.
+    :param upstream: name of the engine.
+    :param models: names of the model versions.
+    :param fencing: fencing number: log index of the last change of the order.
     """
 
     upstream: str
@@ -29,83 +32,83 @@
 
 @dataclass
 class LoadBucket:
-    """Limits loads from the weight store.
+    """Token bucket that limits model loads from the weight store.
 
-    :param rate: loads a second.
-    :param burst: loads at once after quiet.
+    :param rate: loads per second.
+    :param burst: capacity of the bucket.
     """
 
     rate: float
     burst: float
-    left: float = 0.0
-    at: float | None = None
+    tokens: float = 0.0
+    updated_at: float | None = None
 
     def take(self, count: int, now: float) -> bool:
-        """Take some loads; return whether they are allowed now.
+        """Consume tokens for some loads if there are enough; return whether there were.
 
-        A new bucket starts empty: a former leader may have used it up a moment ago.
+        A new bucket starts empty, since the previous leader may have just used the burst.
 
-        :param count: how many; more than the burst wait for a full bucket.
+        :param count: number of loads; more than the burst need a full bucket.
         :param now: the time.
         """
-        if self.at is not None:
-            self.left = min(self.burst, self.left + (now - self.at) * self.rate)
-        self.at = now
+        if self.updated_at is not None:
+            self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate)
+        self.updated_at = now
         needed = min(float(count), self.burst)
-        if self.left < needed:
+        if self.tokens < needed:
             return False
-        self.left -= needed
+        self.tokens -= needed
         return True
 
 
 @dataclass
-class OrderBook:
-    """Decides which order goes to which engine now.
+class OrderScheduler:
+    """Decides which orders are sent to engines now.
 
-    :param since: when this leader began.
-    :param quiet: seconds to wait for a former leader's orders to be over.
-    :param bucket: limits loads.
+    :param since: when this leader's term began.
+    :param quiet_seconds: how long it sends none, until the previous leader's lease has expired.
+    :param bucket: limits model loads.
     """
 
     since: float
-    quiet: float
+    quiet_seconds: float
     bucket: LoadBucket
-    _sent: dict[str, tuple[Wanted, float]] = field(default_factory=dict)
+    _sent: dict[str, tuple[DesiredModels, float]] = field(default_factory=dict)
 
     def list_due(
-        self, wanted: Iterable[Wanted], upstreams: dict[str, Upstream], now: float
-    ) -> Iterator[Wanted]:
+        self, desired: Iterable[DesiredModels], upstreams: dict[str, Upstream], now: float
+    ) -> Iterator[DesiredModels]:
         """Yield the orders to send now.
 
-        :param wanted: what each engine should have.
-        :param upstreams: the engines as they report.
+        :param desired: the orders.
+        :param upstreams: registered engines by name.
         :param now: the time.
         """
-        if now < self.since + self.quiet:
+        if now < self.since + self.quiet_seconds:
             return
-        for order in wanted:
+        for order in desired:
             upstream = upstreams.get(order.upstream)
             if upstream is None or set(upstream.models) == set(order.models):
                 continue
-            if self._is_under_way(order, now):
+            if self._is_in_progress(order, now):
                 continue
             loads = len(set(order.models) - set(upstream.models))
             if self.bucket.take(loads, now):
                 self._sent[order.upstream] = (order, now)
                 yield order
 
-    def settle(self, order: Wanted, state: EngineState | None) -> bool:
-        """Note an engine's state read back after an order; return whether it matches.
+    def confirm(self, order: DesiredModels, state: EngineState | None) -> bool:
+        """Return whether an engine's state fulfils an order; if it does, the order is closed.
 
-        :param order: the order.
-        :param state: the state, or nothing if the engine did not answer.
+        :param order: the order that was sent.
+        :param state: the state read back, or ``None`` if the engine did not answer.
         """
         matches = state is not None and set(state.models) == set(order.models)
         if matches:
             self._sent.pop(order.upstream, None)
         return matches
 
-    def _is_under_way(self, order: Wanted, now: float) -> bool:
-        """Return whether an order to this engine is open; it is sent again after a while."""
+    def _is_in_progress(self, order: DesiredModels, now: float) -> bool:
+        """Return whether an order to this engine is unconfirmed and not yet due for a retry."""
         sent = self._sent.get(order.upstream)
-        return sent is not None and now < sent[1] + _AGAIN_SECONDS
+        return sent is not None and now < sent[1] + _RETRY_SECONDS
--- a/src/daleroad/patches.py
+++ b/src/daleroad/patches.py
@@ -1,9 +1,9 @@
-"""A long text told as what differs from one that the reader has. Pure.
+"""Binary patches between versions of a text, by compression with a preset dictionary. No I/O.
 
-A change of a routing configuration moves a weight or a limit in some ten kilobytes, and each of
-hundreds of gateways is told of it by three coordinators. The text goes in blocks. Each is
-compressed with the part of the other text around its place as the dictionary, so what stayed costs
-a few bytes wherever it was not shifted far.
+A change of the routing configuration usually alters a weight or a limit in tens of kilobytes, and
+three coordinators each send it to hundreds of gateways. The new text is split into blocks. Each is
+compressed with DEFLATE, with the old text around the same offset as the dictionary, so that
+unchanged text takes a few bytes unless it has moved far.
 """
 
 import zlib
@@ -15,25 +15,27 @@
 
 from daleroad.errors import Failure, FailureKind
 
-_WINDOW_BYTES = 32_768
-"""What the compression looks back over at most."""
+_MAX_WINDOW_BYTES = 32_768
+"""Largest window of DEFLATE."""
 
-_BLOCK_BYTES = 8_192
-"""Text of one block; the rest of the window is for what a block may have been shifted by."""
+_MAX_BLOCK_BYTES = 8_192
+"""Largest uncompressed size of a block. The rest of the window covers text that has moved."""
 
-_REACH_BYTES = (_WINDOW_BYTES - _BLOCK_BYTES) // 2
+_MARGIN_BYTES = (_MAX_WINDOW_BYTES - _MAX_BLOCK_BYTES) // 2
+"""Old text in the dictionary before and after the offsets of a block."""
 
-_LENGTH_BYTES = 2
-"""Bytes of a block's length; a block that can't be compressed has some bytes more than its text."""
+_LENGTH_PREFIX_BYTES = 2
+"""Size of the length before each block. An incompressible block is slightly longer than its
+text."""
 
 
 @dataclass(frozen=True)
 class Patch:
-    """What makes one text into another.
+    """A patch that turns one text into another.
 
-    :param base: version of the text that it changes.
-    :param digest: of the text that it makes.
-    :param data: the compressed blocks in base 64.
+    :param base: version of the text that it applies to.
+    :param digest: XXH3 digest of the resulting text in hex.
+    :param data: the length-prefixed compressed blocks in Base64.
     """
 
     base: int
@@ -42,49 +44,53 @@
 
 
 def make_patch(base: int, before: str, after: str) -> Patch:
-    """Return what makes one text into another.
+    """Return the patch that turns one text into another.
 
-    :param base: version of the first text.
-    :param before: the first text.
-    :param after: the other text.
+    :param base: version of the old text.
+    :param before: the old text.
+    :param after: the new text.
     """
     old, new = before.encode(), after.encode()
     blocks = bytearray()
-    for start in range(0, len(new), _BLOCK_BYTES):
-        packer = zlib.compressobj(wbits=-zlib.MAX_WBITS, zdict=_cut_around(old, start))
-        block = packer.compress(new[start : start + _BLOCK_BYTES]) + packer.flush()
-        blocks += len(block).to_bytes(_LENGTH_BYTES) + block
+    for start in range(0, len(new), _MAX_BLOCK_BYTES):
+        compressor = zlib.compressobj(wbits=-zlib.MAX_WBITS, zdict=_get_dictionary(old, start))
+        block = compressor.compress(new[start : start + _MAX_BLOCK_BYTES]) + compressor.flush()
+        blocks += len(block).to_bytes(_LENGTH_PREFIX_BYTES) + block
     return Patch(base, xxh3_64_hexdigest(new), b64encode(blocks).decode())
 
 
 def apply_patch(before: str, patch: Patch) -> str | Failure:
-    """Return the text that a patch makes, or why it can't be made.
+    """Return the patched text, or a failure if the patch is corrupt or for another text.
 
-    :param before: the text that the patch changes.
+    :param before: the text that the patch applies to.
     :param patch: the patch.
     """
     old, new = before.encode(), bytearray()
     try:
-        for block in _list_blocks(b64decode(patch.data, validate=True)):
-            unpacker = zlib.decompressobj(-zlib.MAX_WBITS, zdict=_cut_around(old, len(new)))
-            new += unpacker.decompress(block, _BLOCK_BYTES)
+        for block in _iterate_blocks(b64decode(patch.data, validate=True)):
+            decompressor = zlib.decompressobj(-zlib.MAX_WBITS, zdict=_get_dictionary(old, len(new)))
+            new += decompressor.decompress(block, _MAX_BLOCK_BYTES)
     except (zlib.error, ValueError) as error:
-        return Failure(FailureKind.BAD_REQUEST, f"a patch that can't be read: {error}")
+        return Failure(FailureKind.BAD_REQUEST, f"patch is corrupt: {error}")
     if xxh3_64_hexdigest(new) != patch.digest:
-        return Failure(FailureKind.BAD_REQUEST, "a patch for another text")
+        return Failure(FailureKind.BAD_REQUEST, "digest mismatch: patch was made for another text")
     return new.decode()
 
 
-def _cut_around(text: bytes, start: int) -> bytes:
-    """Return the part of a text where a block that begins at a place should be found."""
-    return text[max(0, start - _REACH_BYTES) : start + _BLOCK_BYTES + _REACH_BYTES]
+def _get_dictionary(text: bytes, start: int) -> bytes:
+    """Return the old text around a block, as the dictionary.
+
+    :param text: the old text.
+    :param start: offset of the block in the new text.
+    """
+    return text[max(0, start - _MARGIN_BYTES) : start + _MAX_BLOCK_BYTES + _MARGIN_BYTES]
 
 
-def _list_blocks(data: bytes) -> Iterator[bytes]:
-    at = 0
-    while at < len(data):
-        size = int.from_bytes(data[at : at + _LENGTH_BYTES])
-        at += _LENGTH_BYTES + size
-        if at > len(data):
-            raise ValueError("a block that was cut")
-        yield data[at - size : at]
+def _iterate_blocks(data: bytes) -> Iterator[bytes]:
+    end = 0
+    while end < len(data):
+        size = int.from_bytes(data[end : end + _LENGTH_PREFIX_BYTES])
+        end += _LENGTH_PREFIX_BYTES + size
+        if end > len(data):
+            raise ValueError("block is truncated")
+        yield data[end - size : end]
--- a/src/daleroad/plans.py
+++ b/src/daleroad/plans.py
@@ -1,8 +1,8 @@
-"""When the generations of one engine that leaves are copied. Pure but for its events.
+"""Plan for migrating the runs of one engine that is shutting down. No I/O but for its events.
 
-All gateways with generations there make the same plan from the engine's own list. A generation
-that began too late to be in that list has its turn in a second plan, made when all those of the
-first have left, or its copy would hold up the last and short copies of the others.
+All gateways with runs on the engine compute the same plan from the engine's report. A run that
+began too late to be in that report is scheduled by a second plan, made when all runs of the first
+have been copied; otherwise its copy would delay the short final copies of the others.
 """
 
 from collections.abc import Iterable
@@ -22,24 +22,29 @@
 )
 from daleroad.defaults import NOTICE_SECONDS, REPORT_LAG_SECONDS
 
-FOLLOW_SLACK_SECONDS = 0.1
-"""What a gateway that came late gives the others for their schedule beyond its own sum of it; their
-clocks count from when each of them heard the notice, 0.05 to 0.1 s apart."""
+_LATE_GATEWAY_MARGIN_SECONDS = 0.1
+"""Time that a late gateway adds to its estimate of the others' schedule, which starts when each of
+them receives the notice, 0.05 to 0.1 s apart."""
 
 
 @dataclass
 class Plan:
-    """When runs of an engine that leaves are copied. Times are on the runtime's clock.
+    """The migration plan of an engine. Times are on the event loop's clock.
 
-    :param made_at: what the slots count from.
-    :param noticed_at: when the notice was heard.
+    :param made_at: start of the schedule, to which the times of slots are relative.
+    :param noticed_at: when the engine's notice was received.
     :param ends_at: when the engine is expected to end.
-    :param known: whether the engine said what it runs; else each gateway moves its runs at once.
-    :param turns: the runs that leave by this plan, here or at other gateways.
-    :param busy_until: until when the engine's link is busy with them.
-    :param ready: set when the plan can be read.
-    :param extended: set when it has all turns that it will have.
-    :param late: the plan for runs without a turn in this one.
+    :param known: whether the engine reported its runs; without a report each gateway migrates its
+        runs at once.
+    :param runs: the reported runs.
+    :param rooms: the possible destinations.
+    :param token_seconds: transfer time of one token's memory within the zone.
+    :param slots: slots by id of the run.
+    :param scheduled: ids of the runs that this plan covers, here or at other gateways.
+    :param busy_until: until when the copies of these runs occupy the engine's link.
+    :param ready: set when the plan was computed.
+    :param extended: set when no more slots will be added.
+    :param late: the plan for runs that this one does not cover.
     """
 
     made_at: float
@@ -50,7 +55,7 @@
     rooms: tuple[Room, ...] = ()
     token_seconds: float = 0.0
     slots: dict[str, Slot] = field(default_factory=dict)
-    turns: frozenset[str] = frozenset()
+    scheduled: frozenset[str] = frozenset()
     busy_until: float = 0.0
     ready: anyio.Event = field(default_factory=anyio.Event)
     extended: anyio.Event = field(default_factory=anyio.Event)
@@ -61,47 +66,50 @@
             self.ends_at = self.noticed_at + NOTICE_SECONDS
 
     def note_leaves_in(self, leaves_in: float | None, now: float) -> None:
-        """Take in an engine's word of its end, which was true some time ago.
+        """Postpone the expected end as the engine reports, allowing for the age of the report.
 
-        :param leaves_in: seconds until then, if it knows.
+        :param leaves_in: reported seconds until the end, if the engine knows.
         :param now: the time.
         """
         if leaves_in is not None:
             self.ends_at = max(self.ends_at, now + leaves_in - REPORT_LAG_SECONDS)
 
     def schedule(self) -> None:
-        """Give turns to the runs; earlier turns stay as they were."""
+        """Assign slots to the runs.
+
+        When repeated with a later end, it keeps the starts that were assigned before.
+        """
         seconds = self.ends_at - self.made_at
         self.slots = schedule_copies(self.runs, self.rooms, seconds, self.token_seconds)
-        self.turns = frozenset(self.slots)
+        self.scheduled = frozenset(self.slots)
         last = max((slot.stop for slot in self.slots.values()), default=0.0)
         self.busy_until = self.made_at + last + STOP_EACH_SECONDS * len(self.slots)
 
     def follow_others(self, own: str) -> None:
-        """Give no turns: the other gateways have begun theirs long ago.
+        """Assign no slots, since the other gateways have begun to copy; estimate when they end.
 
-        :param own: a run that began after the notice.
+        :param own: id of the gateway's own run, which began after the notice; it is not covered.
         """
         others = [run for run in self.runs if run.id != own]
-        self.turns = frozenset(run.id for run in others)
-        copies = sum_seconds(others, self.rooms, self.token_seconds)
-        # The others stop by then at the latest; the sum may be far above, since the rooms that they
-        # went to look full by now.
-        copies = min(copies, NOTICE_SECONDS - STOP_MARGIN_SECONDS)
-        rests = STOP_AFTER_SECONDS + STOP_EACH_SECONDS * len(others)
-        self.busy_until = self.noticed_at + copies + rests + FOLLOW_SLACK_SECONDS
+        self.scheduled = frozenset(run.id for run in others)
+        pre_copies = sum_seconds(others, self.rooms, self.token_seconds)
+        # Pre-copies end by then at the latest. The estimate may be far longer, since the
+        # destinations of the others may already look full.
+        pre_copies = min(pre_copies, NOTICE_SECONDS - STOP_MARGIN_SECONDS)
+        final_copies = STOP_AFTER_SECONDS + STOP_EACH_SECONDS * len(others)
+        self.busy_until = self.noticed_at + pre_copies + final_copies + _LATE_GATEWAY_MARGIN_SECONDS
 
     def list_late(self, runs: Iterable[RunSize]) -> tuple[RunSize, ...]:
-        """Return the runs that have no turn here.
+        """Return the runs that this plan does not cover.
 
-        :param runs: all runs that the engine lists.
+        :param runs: all runs that the engine reported.
         """
-        return tuple(run for run in runs if run.id not in self.turns)
+        return tuple(run for run in runs if run.id not in self.scheduled)
 
     def get_start(self, run_id: str) -> float:
-        """Return when a run's first copy starts; one without a turn comes after the others.
+        """Return when a run's pre-copy starts; without a scheduled one, after all the others.
 
-        :param run_id: the run.
+        :param run_id: id of the run.
         """
         slot = self.slots.get(run_id)
         if slot is not None and slot.start is not None:
@@ -109,9 +117,9 @@
         return self.busy_until
 
     def get_stop(self, run_id: str) -> float:
-        """Return when a run is stopped.
+        """Return when a run is stopped for its final copy; without a slot, after all the others.
 
-        :param run_id: the run.
+        :param run_id: id of the run.
         """
         slot = self.slots.get(run_id)
         if slot is not None:
--- a/src/daleroad/records.py
+++ b/src/daleroad/records.py
@@ -1,4 +1,4 @@
-"""The records that operators make, and those of the membership."""
+"""Data classes of the catalog: the configuration records of operators, and cluster members."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,14 +7,14 @@
 
 
 class ServiceType(StrEnum):
-    """What the upstreams of a service speak."""
+    """The protocol that the upstreams of a service speak."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class State(StrEnum):
-    """State of an entry or an upstream in the membership."""
+    """Lifecycle state of an entry or an upstream in the membership."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """Somebody who may change a partner's records; ``token_hash`` is SHA-256 in hex."""
+    """An account that may change a partner's records; ``token_hash`` is a SHA-256 digest in hex."""
 
     name: str
     partner: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """A customer of a partner. ``most_running`` limits its requests; 0 sets no limit."""
+    """A customer of a partner. ``most_running`` limits its concurrent requests; 0 is unlimited."""
 
     name: str
     partner: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of upstreams that serve the same work."""
+    """A group of upstreams that handle the same requests."""
 
     name: str
     partner: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """A model version's part of a route, by weight."""
+    """The weight of a model version in a route's traffic split."""
 
     model: str
     weight: float
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A kind of work: where it goes and how it may be treated. Times are in seconds."""
+    """Routing rules for a kind of request: its service, models and limits. Times are in seconds."""
 
     name: str
     partner: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A partner's share of the pool, from 0 to 1."""
+    """A partner's share of the pool, as a fraction from 0 to 1."""
 
     name: str
     partner: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """What an engine should have loaded; its name is the upstream's."""
+    """The model versions that an engine should have loaded; ``name`` is that of the upstream."""
 
     name: str
     partner: str
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryMember:
-    """An entry in the membership."""
+    """An entry process in the membership."""
 
     name: str
     address: str
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """An upstream that announced itself. ``capacity`` is in tokens of memory."""
+    """A registered upstream. ``capacity`` is the size of its memory in tokens."""
 
     name: str
     address: str
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -1,4 +1,4 @@
-"""Tests of configurations told as what differs from one that the reader has."""
+"""Tests of patches between versions of the routing configuration."""
 
 import json
 import unittest
@@ -8,14 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from daleroad.documents import DOCUMENTS_KEPT, DocumentHistory
+from daleroad.documents import MAX_KEPT_VERSIONS, DocumentHistory
 from daleroad.errors import Failure
 from daleroad.patches import Patch, apply_patch, make_patch
 from daleroad.siterecord import Document
 
 
 def make_text(random: Random, routes: int) -> str:
-    """Return a configuration with names that do not repeat."""
+    """Return a configuration with random route names."""
     names = [f"r-{random.randrange(16**7):07x}" for _ in range(routes)]
     return json.dumps(
         {"routes": [{"name": name, "prefix": f"/{name[2:]}/", "timeout": 800} for name in names]}
@@ -25,22 +25,22 @@
 class PatchTest(unittest.TestCase):
     @given(st.text(max_size=400), st.text(max_size=400))
     @settings(max_examples=100, deadline=None)
-    def test_any_text_is_made_from_any_other(self, before: str, after: str) -> None:
+    def test_a_patch_restores_any_text_from_any_other(self, before: str, after: str) -> None:
         self.assertEqual(apply_patch(before, make_patch(1, before, after)), after)
 
-    def test_a_change_in_a_long_text_is_short(self) -> None:
+    def test_a_patch_is_small_for_a_changed_inserted_or_truncated_part(self) -> None:
         random = Random(1)
         before = make_text(random, 900)
-        at = before.index("800", len(before) // 2)
+        offset = before.index("800", len(before) // 2)
         inserted = before[: len(before) // 3] + make_text(random, 20) + before[len(before) // 3 :]
-        for after in (before[:at] + "12000" + before[at + 3 :], inserted, before[:40_000]):
+        for after in (before[:offset] + "12000" + before[offset + 3 :], inserted, before[:40_000]):
             patch = make_patch(1, before, after)
             self.assertEqual(apply_patch(before, patch), after)
             self.assertGreater(len(before), 50_000)
-            # A whole text of this kind is compressed to a quarter.
+            # Plain compression of such a text leaves about a quarter of it.
             self.assertLess(len(patch.data), len(before) / 25)
 
-    def test_a_patch_for_another_text_or_a_broken_one_is_a_failure(self) -> None:
+    def test_a_patch_for_another_text_or_a_corrupt_patch_returns_a_failure(self) -> None:
         before, after = (make_text(Random(seed), 300) for seed in (1, 2))
         patch = make_patch(1, before, after)
         self.assertIsInstance(apply_patch(after, patch), Failure)
@@ -49,7 +49,7 @@
 
     @given(st.text(max_size=60))
     @settings(max_examples=100, deadline=None)
-    def test_whatever_comes_as_a_patch_is_refused(self, data: str) -> None:
+    def test_arbitrary_patch_data_returns_a_failure(self, data: str) -> None:
         self.assertIsInstance(apply_patch("text", Patch(1, "0", data)), Failure)
 
 
@@ -61,19 +61,19 @@
             self.history.note(Document(version, text))
         self.newest = Document(11, self.texts[11])
 
-    def test_a_follower_that_is_a_little_behind_is_told_what_differs(self) -> None:
-        for version in range(12 - DOCUMENTS_KEPT, 11):
-            news = self.history.tell(self.newest, version, False)
-            assert news.patch is not None
-            self.assertIsNone(news.document)
-            self.assertEqual(apply_patch(self.texts[version], news.patch), self.newest.text)
+    def test_a_follower_with_a_kept_version_gets_a_patch(self) -> None:
+        for version in range(12 - MAX_KEPT_VERSIONS, 11):
+            update = self.history.tell(self.newest, version, False)
+            assert update.patch is not None
+            self.assertIsNone(update.document)
+            self.assertEqual(apply_patch(self.texts[version], update.patch), self.newest.text)
 
-    def test_one_that_is_far_behind_or_asks_for_it_is_told_the_whole(self) -> None:
-        for version, whole in ((0, False), (11 - DOCUMENTS_KEPT, False), (10, True)):
-            news = self.history.tell(self.newest, version, whole)
-            self.assertEqual((news.document, news.patch), (self.newest.text, None))
+    def test_a_follower_without_a_kept_version_or_on_request_gets_the_full_text(self) -> None:
+        for version, whole in ((0, False), (11 - MAX_KEPT_VERSIONS, False), (10, True)):
+            update = self.history.tell(self.newest, version, whole)
+            self.assertEqual((update.document, update.patch), (self.newest.text, None))
 
-    def test_one_that_has_it_is_told_nothing(self) -> None:
+    def test_a_follower_that_is_up_to_date_gets_nothing(self) -> None:
         for version in (11, 12):
-            news = self.history.tell(self.newest, version, True)
-            self.assertEqual((news.document, news.patch), (None, None))
+            update = self.history.tell(self.newest, version, True)
+            self.assertEqual((update.document, update.patch), (None, None))
