--- a/src/daleroad/control.py
+++ b/src/daleroad/control.py
@@ -1,4 +1,4 @@
-"""The control role: members of the replicated logs, and what the leader answers for them."""
+"""The control process: a member of the replicated logs that serves the catalog while it leads."""
 
 import time
 from pathlib import Path
@@ -37,7 +37,7 @@
     MembershipAnswer,
     MembershipRequest,
 )
-from daleroad.operators import OperatorFace
+from daleroad.operators import OperatorService
 from daleroad.ordering import OrderSender
 from daleroad.records import Operator
 from daleroad.roster import Roster
@@ -46,15 +46,18 @@
 from daleroad.settings import Settings
 from daleroad.storage import Storage
 
-CATALOG = "catalog"
-_WATCH_SECONDS = 0.2
-_GRACE_SECONDS = 3.0
+_CATALOG_GROUP = "catalog"
+"""Name of the consensus group that replicates the catalog."""
+_WATCH_INTERVAL_SECONDS = 0.2
+"""Interval between checks for due orders and expired leases."""
+_MAX_GRACE_SECONDS = 3.0
+"""Longest grace period for open requests at shutdown."""
 
 T = TypeVar("T")
 
 
 def name_claim_group(shard: int) -> str:
-    """Return the name of the group that carries a shard of the claim journal.
+    """Return the name of the consensus group that replicates a shard of the claim journal.
 
     :param shard: number of the shard.
     """
@@ -62,10 +65,10 @@
 
 
 def found(settings: Settings) -> None:
-    """Write the founding state of a new site into an empty data folder.
+    """Initialise the empty data folder of a control process of a new site.
 
-    Each control process's folder is founded once; a folder that was lost is not founded again
-    but filled by the leader.
+    Each folder is initialised once. A folder that was lost later is not initialised again; the
+    leader restores its contents.
 
     :param settings: the settings of one control process.
     """
@@ -77,23 +80,23 @@
     own = f"founding-{settings.name}"
     for name in list_groups(settings):
         storage = Storage(Path(settings.data) / f"{name}.db")
-        storage.found(own, members, catalog.dump() if name == CATALOG else "")
+        storage.found(own, members, catalog.dump() if name == _CATALOG_GROUP else "")
         storage.close()
 
 
 def list_groups(settings: Settings) -> list[str]:
-    """Return the names of all replicated logs.
+    """Return the names of all consensus groups, one for each replicated log.
 
-    :param settings: the settings.
+    :param settings: settings with the number of claim shards.
     """
-    return [CATALOG, *(name_claim_group(shard) for shard in range(settings.claim_shards))]
+    return [_CATALOG_GROUP, *(name_claim_group(shard) for shard in range(settings.claim_shards))]
 
 
 class Control:
     """One control process.
 
     :param settings: its settings.
-    :param random: source of election timeouts.
+    :param random: source of randomness for election timeouts and for the choice of located entries.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -101,11 +104,11 @@
         self.machine = CatalogMachine()
         self.links = Links(settings.tls, settings.cluster_secret)
         self.groups = {name: self._make_group(name, random) for name in list_groups(settings)}
-        self.group = self.groups[CATALOG]
+        self.group = self.groups[_CATALOG_GROUP]
         self.group.on_applied = self._wake_followers
         self.roster: Roster | None = None
-        self._news = anyio.Event()
-        self._proposing: set[str] = set()
+        self._change_event = anyio.Event()
+        self._removing: set[str] = set()
         self.random = random
         self._stop = anyio.Event()
         self._make_metrics()
@@ -114,9 +117,9 @@
         settings = self.settings
         urls = {peer: settings.get_control_url(peer) for peer in settings.control}
         storage = Storage(Path(settings.data) / f"{name}.db")
-        machine = self.machine if name == CATALOG else ClaimJournal()
-        seeded = Random(random.random())
-        return Group(name, settings.name, urls, storage, machine, self.links, seeded)
+        machine = self.machine if name == _CATALOG_GROUP else ClaimJournal()
+        group_random = Random(random.random())
+        return Group(name, settings.name, urls, storage, machine, self.links, group_random)
 
     def _make_metrics(self) -> None:
         self.registry = CollectorRegistry()
@@ -124,24 +127,24 @@
         self.changes = Counter("daleroad_changes", "Operators' changes", registry=self.registry)
         revision = Gauge("daleroad_revision", "Applied revision", registry=self.registry)
         revision.set_function(lambda: self.machine.catalog.revision)
-        leading = Gauge("daleroad_leading", "1 on the leader", registry=self.registry)
-        leading.set_function(lambda: float(self.group.is_leading()))
+        leader_gauge = Gauge("daleroad_leading", "1 on the leader", registry=self.registry)
+        leader_gauge.set_function(lambda: float(self.group.is_leading()))
 
     async def run(self) -> None:
-        """Serve until stopped."""
+        """Serve until :meth:`stop` is called."""
         async with anyio.create_task_group() as tasks:
             for group in self.groups.values():
                 await group.run(tasks)
-            tasks.start_soon(self._watch, tasks)
+            tasks.start_soon(self._run_leader_tasks, tasks)
             settings = self.settings
             bind = settings.bind or settings.address
-            grace = min(_GRACE_SECONDS, settings.stop - STOP_KEPT_SECONDS)
+            grace = min(_MAX_GRACE_SECONDS, settings.stop - STOP_KEPT_SECONDS)
             await serve_app(self._make_router(), bind, settings.tls, self._stop.wait, grace)
             tasks.cancel_scope.cancel()
         await self.links.close()
 
     def stop(self) -> None:
-        """Stop serving; a leader's followers elect another when its lease runs out."""
+        """Stop serving. If this is the leader, another is elected after its lease expires."""
         for group in self.groups.values():
             group.stop()
         self._stop.set()
@@ -155,8 +158,8 @@
         router.add("POST", "/claims/", self._serve_claim)
         router.add("GET", "/metrics", self._serve_metrics)
         router.add("GET", "/status", self._serve_status)
-        face = OperatorFace(self)
-        for app in (OperatorsASGIApplication(face), LocatorASGIApplication(face)):
+        service = OperatorService(self)
+        for app in (OperatorsASGIApplication(service), LocatorASGIApplication(service)):
             router.mount(app.path, app)  # type: ignore[arg-type]
         return router
 
@@ -164,79 +167,79 @@
         return check_peer(request.headers, self.settings.cluster_secret)
 
     async def _serve_peer(self, request: Request) -> Answer:
-        refused = self._check_peer(request)
+        rejection = self._check_peer(request)
         group = self.groups.get(request.tail)
         messages = decode_messages(request.body)
-        if refused is not None:
-            return refused
+        if rejection is not None:
+            return rejection
         if group is None or isinstance(messages, Failure):
-            return Failure(FailureKind.BAD_REQUEST, "no such group or wrong messages")
+            return Failure(FailureKind.BAD_REQUEST, "unknown consensus group or malformed messages")
         group.receive(messages)
         return Response(204)
 
     async def _serve_follow(self, request: Request) -> Answer:
-        refused = self._check_peer(request)
-        asked = decode(FollowRequest, request.body)
-        if refused is not None:
-            return refused
-        if isinstance(asked, Failure):
-            return asked
+        rejection = self._check_peer(request)
+        parsed = decode(FollowRequest, request.body)
+        if rejection is not None:
+            return rejection
+        if isinstance(parsed, Failure):
+            return parsed
         if self.roster is None or not self.group.has_served_term():
             return self.group.refuse()
-        arrived_at = anyio.current_time()
-        joined = await self._join(asked)
-        if isinstance(joined, Failure):
-            return joined
+        received_at = anyio.current_time()
+        failure = await self._add_entry(parsed)
+        if isinstance(failure, Failure):
+            return failure
         if self.roster is not None:
-            self.roster.note_applied(asked.entry.name, asked.revision)
-        await self._wait_news(asked.revision)
-        return self._answer_follow(asked, arrived_at)
+            self.roster.note_applied(parsed.entry.name, parsed.revision)
+        await self._wait_for_change(parsed.revision)
+        return self._answer_follow(parsed, received_at)
 
-    async def _join(self, asked: FollowRequest) -> Failure | None:
-        entry = asked.entry
+    async def _add_entry(self, request: FollowRequest) -> Failure | None:
+        entry = request.entry
         if self.machine.catalog.entries.get(entry.name) == entry:
             return None
         log_event(Event.ENTRY_JOINED, name=entry.name, state=entry.state.value)
         outcome = await self.propose(SetEntry(entry))
         return outcome if isinstance(outcome, Failure) else None
 
-    async def _wait_news(self, revision: int) -> None:
+    async def _wait_for_change(self, revision: int) -> None:
         if self.machine.catalog.changed > revision:
             return
         with anyio.move_on_after(self.settings.follow):
             while self.machine.catalog.changed <= revision and not self._stop.is_set():
-                await self._news.wait()
-        # Each change wakes all entries, so changes that come together are told together: the
-        # leader's answers a second are bounded however many entries join at once.
+                await self._change_event.wait()
+        # Each change wakes all entries. Gathering changes for a time in proportion to the entries
+        # bounds the leader's answers per second, however many entries join at once.
         await anyio.sleep(len(self.machine.catalog.entries) * GATHER_SECONDS)
 
-    def _answer_follow(self, asked: FollowRequest, arrived_at: float) -> Answer:
-        # The lease is given only by a leader that has just heard a majority.
+    def _answer_follow(self, request: FollowRequest, received_at: float) -> Answer:
+        # Only a leader in recent contact with a majority may renew the lease of an entry.
         if self.roster is None or not self.group.is_leading():
             return self.group.refuse()
         self._follows.inc()
         catalog = self.machine.catalog
         now = anyio.current_time()
-        self.roster.follow(asked.entry.name, asked.revision, now)
-        changes = self.machine.list_changes(asked.revision)
+        self.roster.follow(request.entry.name, request.revision, now)
+        changes = self.machine.list_changes(request.revision)
         lease = self.settings.entry_lease
-        if changes is None or asked.revision > catalog.revision:
+        if changes is None or request.revision > catalog.revision:
             state = catalog.dump(whole=False)
-            answer = FollowAnswer(catalog.revision, lease, now - arrived_at, (), state)
+            answer = FollowAnswer(catalog.revision, lease, now - received_at, (), state)
         else:
-            answer = FollowAnswer(catalog.revision, lease, now - arrived_at, changes)
+            answer = FollowAnswer(catalog.revision, lease, now - received_at, changes)
         return Response(200, encode(answer))
 
     async def _serve_membership(self, request: Request) -> Answer:
-        refused = self._check_peer(request)
-        asked = decode(MembershipRequest, request.body)
-        if refused is not None:
-            return refused
-        if isinstance(asked, Failure):
-            return asked
+        rejection = self._check_peer(request)
+        parsed = decode(MembershipRequest, request.body)
+        if rejection is not None:
+            return rejection
+        if isinstance(parsed, Failure):
+            return parsed
         if not self.group.has_served_term():
             return self.group.refuse()
-        match asked.change:
+        match parsed.change:
             case SetUpstream(upstream):
                 known = self.machine.catalog.upstreams.get(upstream.name)
                 if known == upstream:
@@ -247,34 +250,37 @@
             case DropEntry(name):
                 log_event(Event.ENTRY_LEFT, name=name)
             case _:
-                return Failure(FailureKind.FORBIDDEN, "not a change of the membership")
-        outcome = await self.propose(asked.change)
+                return Failure(FailureKind.FORBIDDEN, "change does not concern the membership")
+        outcome = await self.propose(parsed.change)
         if isinstance(outcome, Failure):
             return outcome
         return Response(200, encode(MembershipAnswer(outcome.version)))
 
     async def _serve_claim(self, request: Request) -> Answer:
-        refused = self._check_peer(request)
-        asked = decode(ClaimRequest, request.body)
+        rejection = self._check_peer(request)
+        parsed = decode(ClaimRequest, request.body)
         group = self.groups.get(name_claim_group(int(request.tail or "0")))
-        if refused is not None:
-            return refused
-        if isinstance(asked, Failure) or group is None:
-            return Failure(FailureKind.BAD_REQUEST, "no such shard or a wrong command")
-        command = decode(ClaimCommand, asked.payload)
+        if rejection is not None:
+            return rejection
+        if isinstance(parsed, Failure) or group is None:
+            return Failure(FailureKind.BAD_REQUEST, "unknown claim shard or malformed request")
+        command = decode(ClaimCommand, parsed.payload)
         if isinstance(command, Failure):
             return command
         outcome: ClaimOutcome | Failure
         if isinstance(command, Look):
-            outcome = self._look(group, command)
+            outcome = self._read_claim(group, command)
         else:
-            outcome = await group.propose(asked.payload)
+            outcome = await group.propose(parsed.payload)
         if isinstance(outcome, ClaimOutcome):
             return Response(200, encode(outcome))
         return outcome
 
-    def _look(self, group: Group, command: Look) -> ClaimOutcome | Failure:
-        """Read the journal at a leader that has just heard a majority; nothing is appended."""
+    def _read_claim(self, group: Group, command: Look) -> ClaimOutcome | Failure:
+        """Read the journal without appending to the log.
+
+        Refused unless this is the leader and has applied an entry of its own term.
+        """
         journal = group.machine
         if not group.has_served_term() or not isinstance(journal, ClaimJournal):
             return group.refuse()
@@ -297,27 +303,29 @@
             "members": [f"{m.name}/{m.incarnation[:12]}" for m in replica.members],
             "votes": Member(replica.name, replica.incarnation) in replica.members,
             "claims": {
-                name: group.replica.commit for name, group in self.groups.items() if name != CATALOG
+                name: group.replica.commit
+                for name, group in self.groups.items()
+                if name != _CATALOG_GROUP
             },
         }
         return Response(200, orjson.dumps(status))
 
     async def propose(self, change: Change, by: Command | None = None) -> Outcome | Failure:
-        """Append a change to the catalog's log.
+        """Append a change to the catalog's log and return its outcome.
 
         :param change: the change.
-        :param by: the whole command, if an operator asked for it.
+        :param by: the full command if the change comes from an operator.
         """
         command = by or Command("", "", "", 0, time.time(), change)
         return await self.group.propose(encode(command).decode())
 
     async def wait_in_force(self, revision: int, seconds: float) -> bool:
-        """Wait until a revision is in force on every entry; return whether it is.
+        """Wait until a revision is in force on all entries; return whether it is.
 
-        The wait ends early when this process is told to stop.
+        The wait ends early when this process is stopped.
 
         :param revision: the revision.
-        :param seconds: longest wait.
+        :param seconds: the timeout.
         """
         deadline = anyio.current_time() + seconds
         while not self._is_in_force(revision):
@@ -333,14 +341,17 @@
         return self.roster.is_in_force(revision, names, anyio.current_time())
 
     def _wake_followers(self) -> None:
-        self._news.set()
-        self._news = anyio.Event()
+        self._change_event.set()
+        self._change_event = anyio.Event()
 
-    async def _watch(self, tasks: TaskGroup) -> None:
-        """Keep roster and orders while this member leads; drop entries whose lease ran out."""
+    async def _run_leader_tasks(self, tasks: TaskGroup) -> None:
+        """While this is the leader, send due orders and remove entries with an expired lease.
+
+        Each term starts with a new roster and order sender.
+        """
         order_sender = OrderSender(self.settings, self.links, self.machine.catalog, 0.0)
         while True:
-            await anyio.sleep(_WATCH_SECONDS)
+            await anyio.sleep(_WATCH_INTERVAL_SECONDS)
             if not self.group.is_leading():
                 self.roster = None
                 continue
@@ -350,13 +361,13 @@
                 order_sender = OrderSender(self.settings, self.links, self.machine.catalog, now)
             order_sender.send_due(tasks, now)
             for name in list(self.roster.list_expired(self.machine.catalog.entries, now)):
-                if name not in self._proposing:
-                    self._proposing.add(name)
-                    tasks.start_soon(self._drop_entry, name)
+                if name not in self._removing:
+                    self._removing.add(name)
+                    tasks.start_soon(self._remove_entry, name)
 
-    async def _drop_entry(self, name: str) -> None:
+    async def _remove_entry(self, name: str) -> None:
         log_event(Event.ENTRY_LEFT, name=name)
         await self.propose(DropEntry(name))
         if self.roster is not None:
             self.roster.forget(name)
-        self._proposing.discard(name)
+        self._removing.discard(name)
--- a/src/daleroad/operators.py
+++ b/src/daleroad/operators.py
@@ -1,4 +1,7 @@
-"""The calls of operators, and locate, at the leading control process."""
+"""RPC handlers of the control process for operators, and for callers that locate an entry.
+
+Only the leader answers.
+"""
 
 import time
 from collections.abc import Iterator
@@ -28,12 +31,12 @@
 if TYPE_CHECKING:
     from daleroad.control import Control
 
-_AUDIT_MOST = 1000
-"""Rows of the audit trail in one answer; the next question goes on behind the last."""
+_MAX_AUDIT_ROWS = 1000
+"""Largest number of audit rows in one answer. A request continues after the last row received."""
 
 
-class OperatorFace:
-    """The calls of operators, and locate, as the schema defines them.
+class OperatorService:
+    """Implements the operator and locator services of the schema.
 
     :param control: the control process.
     """
@@ -44,27 +47,32 @@
     async def locate(
         self, request: LocateRequest, ctx: RequestContext[LocateRequest, LocateAnswer], /
     ) -> LocateAnswer:
-        """Return addresses of entries."""
+        """Return addresses of entries for a caller."""
         control = self._control
         if not control.group.is_leading():
-            raise ConnectError(Code.UNAVAILABLE, "ask the leader or an entry")
+            raise ConnectError(
+                Code.UNAVAILABLE, "not the leader; send the request to the leader or an entry"
+            )
         entries = control.machine.catalog.entries.values()
         addresses = pick_addresses(entries, request.zone, request.most, control.random)
-        keep = control.settings.locate_keep
-        return LocateAnswer(addresses=addresses, keep_seconds=keep)
+        keep_seconds = control.settings.locate_keep
+        return LocateAnswer(addresses=addresses, keep_seconds=keep_seconds)
 
     async def change(
         self, request: ChangeRequest, ctx: RequestContext[ChangeRequest, ChangeAnswer], /
     ) -> ChangeAnswer:
-        """Propose an operator's change and wait until it is in force."""
+        """Commit an operator's change and wait until it is in force on all entries.
+
+        The answer says whether it was in force before the requested wait ended.
+        """
         operator = self._authenticate(ctx)
         if not self._control.group.has_served_term():
-            return _refuse_change(self._control.group.refuse())
-        change = parse_change(request.kind, request.body)
+            return _make_refusal(self._control.group.refuse())
+        change = _parse_change(request.kind, request.body)
         if isinstance(change, Failure):
-            return _refuse_change(change)
+            return _make_refusal(change)
         if not request.operation:
-            return _refuse_change(Failure(FailureKind.INVALID, "the operation id is empty"))
+            return _make_refusal(Failure(FailureKind.INVALID, "operation id is empty"))
         command = Command(
             request.operation,
             operator.name,
@@ -76,13 +84,16 @@
         self._control.changes.inc()
         outcome = await self._control.propose(change, command)
         if isinstance(outcome, Failure):
-            return _refuse_change(outcome)
-        return await self._answer_change(outcome, request.wait_seconds)
+            return _make_refusal(outcome)
+        return await self._make_change_answer(outcome, request.wait_seconds)
 
     async def read(
         self, request: ReadRequest, ctx: RequestContext[ReadRequest, ReadAnswer], /
     ) -> ReadAnswer:
-        """Return the operator's own records of a kind; shares and membership are seen by all."""
+        """Return the records of a kind that belong to the operator's partner.
+
+        Shares, entries and upstreams are visible to all operators.
+        """
         operator = self._authenticate(ctx)
         catalog = self._control.machine.catalog
         if not self._control.group.has_served_term():
@@ -93,18 +104,18 @@
             return ReadAnswer(body=body.decode(), revision=catalog.revision)
         if request.kind not in RECORD_TYPES:
             known = ", ".join([*RECORD_TYPES, "entries", "upstreams"])
-            raise ConnectError(Code.INVALID_ARGUMENT, f"kinds are {known}")
-        seen = (
+            raise ConnectError(Code.INVALID_ARGUMENT, f"unknown kind; known kinds are {known}")
+        visible = (
             versioned
             for versioned in catalog.list_records(request.kind)
             if request.kind == "Share" or versioned.record.partner == operator.partner
         )
-        return ReadAnswer(body=encode(tuple(seen)).decode(), revision=catalog.revision)
+        return ReadAnswer(body=encode(tuple(visible)).decode(), revision=catalog.revision)
 
     async def audit(
         self, request: AuditRequest, ctx: RequestContext[AuditRequest, AuditAnswer], /
     ) -> AuditAnswer:
-        """Return rows of the audit trail that concern the operator's partner."""
+        """Return audit rows of the operator's partner."""
         operator = self._authenticate(ctx)
         if not self._control.group.has_served_term():
             raise ConnectError(Code.UNAVAILABLE, self._control.group.refuse().reason)
@@ -113,8 +124,8 @@
             for row in self._control.machine.catalog.audit
             if row.partner == operator.partner and row.index > request.after
         )
-        most = min(request.most or _AUDIT_MOST, _AUDIT_MOST)
-        texts = [encode(row).decode() for row, _ in zip(rows, range(most), strict=False)]
+        max_rows = min(request.most or _MAX_AUDIT_ROWS, _MAX_AUDIT_ROWS)
+        texts = [encode(row).decode() for row, _ in zip(rows, range(max_rows), strict=False)]
         return AuditAnswer(rows=texts)
 
     def _authenticate(self, ctx: RequestContext[Any, Any]) -> Operator:
@@ -124,9 +135,9 @@
             assert isinstance(operator, Operator)
             if is_token(token, operator.token_hash):
                 return operator
-        raise ConnectError(Code.UNAUTHENTICATED, "unknown operator")
+        raise ConnectError(Code.UNAUTHENTICATED, "bearer token matches no operator")
 
-    async def _answer_change(self, outcome: Outcome, wait_seconds: float) -> ChangeAnswer:
+    async def _make_change_answer(self, outcome: Outcome, wait_seconds: float) -> ChangeAnswer:
         if outcome.failure is not None:
             current = encode(outcome.current, Record).decode() if outcome.current else ""
             return ChangeAnswer(
@@ -140,28 +151,28 @@
         return ChangeAnswer(accepted=True, version=outcome.version, in_force=in_force)
 
 
-def _refuse_change(failure: Failure) -> ChangeAnswer:
+def _make_refusal(failure: Failure) -> ChangeAnswer:
     if failure.ran is Ran.UNKNOWN:
-        reason = f"{failure.reason}; send the same operation again to learn its outcome"
+        reason = f"{failure.reason}; outcome is unknown, retry with the same operation id"
         return ChangeAnswer(accepted=False, failure=failure.kind.value, reason=reason)
     return ChangeAnswer(accepted=False, failure=failure.kind.value, reason=failure.reason)
 
 
-def parse_change(kind: str, body: str) -> Change | Failure:
-    """Return the change that an operator's request holds, or a failure.
+def _parse_change(kind: str, body: str) -> Change | Failure:
+    """Parse the change in an operator's request.
 
-    :param kind: ``Put`` or ``Remove`` before a record's class name, for example ``PutRoute``.
-    :param body: the record's fields, or its name, as JSON.
+    :param kind: ``Put`` or ``Remove`` and a record's class name, for example ``PutRoute``.
+    :param body: the record as JSON, or a JSON object with its ``name`` to remove it.
     """
-    verb, type_name = ("Put", kind[3:]) if kind.startswith("Put") else ("Remove", kind[6:])
-    shape = RECORD_TYPES.get(type_name)
-    if shape is None or not kind.startswith(verb):
+    action, type_name = ("Put", kind[3:]) if kind.startswith("Put") else ("Remove", kind[6:])
+    record_type = RECORD_TYPES.get(type_name)
+    if record_type is None or not kind.startswith(action):
         known = ", ".join(f"Put{name}, Remove{name}" for name in RECORD_TYPES)
-        return Failure(FailureKind.INVALID, f"unknown change {kind}; known are {known}")
-    if verb == "Remove":
+        return Failure(FailureKind.INVALID, f"unknown change {kind}; known changes are {known}")
+    if action == "Remove":
         name = decode(dict[str, str], body)
         if isinstance(name, Failure):
             return name
         return Remove(type_name, name.get("name", ""))
-    record = decode(shape, body)
+    record = decode(record_type, body)
     return record if isinstance(record, Failure) else Put(record)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control group as real processes: kills, freezes, isolation, lost disks, restarts."""
+"""Fault tests of the control processes: kills, freezes, partitions, lost disks and restarts."""
 
 import shutil
 import threading
@@ -26,7 +26,7 @@
 
 
 class ControlTest(SiteTest):
-    """Control processes and entries without upstreams."""
+    """Base of tests with real control processes and an entry, without upstreams."""
 
     ENTRIES = 1
 
@@ -50,15 +50,15 @@
     def get_status(self, settings: Settings) -> dict:
         return get_json(f"{settings.url}/status")
 
-    def wait_caught_up(self, settings: Settings) -> None:
-        def is_level() -> bool:
+    def wait_until_caught_up(self, settings: Settings) -> None:
+        def has_caught_up() -> bool:
             leader = self.get_status(self.find_leader())
             own = self.get_status(settings)
             return own["revision"] == leader["revision"]
 
-        wait_for(is_level, f"{settings.name} caught up")
+        wait_for(has_caught_up, f"{settings.name} caught up")
 
-    def wait_voting(self, settings: Settings) -> None:
+    def wait_until_voting(self, settings: Settings) -> None:
         wait_for(lambda: self.get_status(settings)["votes"], f"{settings.name} votes")
 
 
@@ -67,22 +67,22 @@
         first = self.put(1, operation="op-1")
         self.assertTrue(first.accepted and first.in_force)
         self.processes.kill(self.find_leader().name)
-        again = self.put(1, operation="op-1")
-        self.assertEqual((again.accepted, again.version), (True, first.version))
+        repeated = self.put(1, operation="op-1")
+        self.assertEqual((repeated.accepted, repeated.version), (True, first.version))
         self.assertTrue(self.put(2).in_force)
         self.assertLessEqual({"herd-1", "herd-2"}, self.list_names())
 
     def test_a_frozen_and_thawed_leader_takes_nothing_back(self) -> None:
-        old = self.find_leader()
+        former_leader = self.find_leader()
         self.put(1)
-        self.processes.freeze(old.name)
+        self.processes.freeze(former_leader.name)
         try:
             second = self.put(2)
             self.assertTrue(second.accepted)
         finally:
-            self.processes.thaw(old.name)
-        self.wait_caught_up(old)
-        self.assertFalse(self.get_status(old)["leading"])
+            self.processes.thaw(former_leader.name)
+        self.wait_until_caught_up(former_leader)
+        self.assertFalse(self.get_status(former_leader)["leading"])
         self.assertLessEqual({"herd-1", "herd-2"}, self.list_names())
         self.assertTrue(self.put(3).in_force)
 
@@ -92,9 +92,9 @@
             if settings.name != leader.name:
                 self.processes.kill(settings.name)
         wait_for(lambda: not self.get_status(leader)["leading"], "the leader stepped down")
-        impatient = OperatorClient([leader.url], "operator-tamarack-token", 2.0)
-        self.addCleanup(impatient.close)
-        answer = impatient.put(make_organisation(1), 0)
+        short_timeout_client = OperatorClient([leader.url], "operator-tamarack-token", 2.0)
+        self.addCleanup(short_timeout_client.close)
+        answer = short_timeout_client.put(make_organisation(1), 0)
         self.assertIsInstance(answer, Failure)
         entry = self.site.entries[0]
         wait_for(lambda: not self.get_status(entry)["lease"], "the entry's lease ran out")
@@ -132,17 +132,17 @@
 
         with ThreadPoolExecutor(6) as pool:
             answers = list(pool.map(race, range(6)))
-        won = [a for a in answers if a.accepted]
-        lost = [a for a in answers if not a.accepted]
-        self.assertEqual(len(won), 1)
-        self.assertEqual({a.failure for a in lost}, {"version-conflict"})
-        current = {orjson.loads(a.current)["weight"] for a in lost}
+        accepted = [a for a in answers if a.accepted]
+        rejected = [a for a in answers if not a.accepted]
+        self.assertEqual(len(accepted), 1)
+        self.assertEqual({a.failure for a in rejected}, {"version-conflict"})
+        current = {orjson.loads(a.current)["weight"] for a in rejected}
         self.assertEqual(len(current), 1)
         rows = [orjson.loads(row) for row in self.operator.audit().rows]
         conflicts = [row for row in rows if row["outcome"] == "version-conflict"]
         self.assertEqual(len(conflicts), 5)
 
-    def test_partners_cannot_touch_each_other(self) -> None:
+    def test_operators_cannot_read_or_change_records_of_another_partner(self) -> None:
         self.put(1)
         other = self.make_operator("stoyanov")
         for answer in (
@@ -154,7 +154,7 @@
         self.assertNotIn("herd-1", other.read("Organisation").body)
         self.assertIn("herd-1", self.list_names())
 
-    def test_wrong_changes_are_refused_with_a_type(self) -> None:
+    def test_invalid_changes_and_unknown_operators_are_rejected_with_a_failure_kind(self) -> None:
         for kind, body in (
             ("PutRoute", '{"name": "r", "partner": "tamarack", "service": "none"}'),
             ("PutRoute", '{"name": "r"}'),
@@ -165,9 +165,9 @@
             answer = self.operator.change(kind, body, 0)
             self.assertFalse(answer.accepted, kind)
             self.assertTrue(answer.failure)
-        wrong = OperatorClient([s.url for s in self.site.control], "nobody", 5.0)
-        self.addCleanup(wrong.close)
-        self.assertEqual(wrong.read("Organisation").kind.value, "unauthenticated")
+        unknown_operator = OperatorClient([s.url for s in self.site.control], "nobody", 5.0)
+        self.addCleanup(unknown_operator.close)
+        self.assertEqual(unknown_operator.read("Organisation").kind.value, "unauthenticated")
 
 
 class DiskTest(ControlTest):
@@ -185,8 +185,8 @@
         self.wipe(repaired)
         self.put(2)
         self.processes.start(repaired)
-        self.wait_voting(repaired)
-        self.wait_caught_up(repaired)
+        self.wait_until_voting(repaired)
+        self.wait_until_caught_up(repaired)
         second = self.find_leader()
         self.wipe(second)
         self.assertLessEqual({"herd-1", "herd-2"}, self.list_names())
@@ -210,40 +210,40 @@
         self.assertIn("D111 STORAGE_REFUSED", log)
         self.processes.run_command("repair", damaged)
         self.processes.start(damaged)
-        self.wait_voting(damaged)
-        self.wait_caught_up(damaged)
+        self.wait_until_voting(damaged)
+        self.wait_until_caught_up(damaged)
 
     def test_a_disk_rolled_back_is_found_out_and_readmitted_as_a_new_one(self) -> None:
         self.put(1)
-        victim = self.get_follower()
-        self.processes.kill(victim.name)
-        copy = Path(f"{victim.data}-copy")
-        shutil.copytree(victim.data, copy)
-        self.processes.start(victim)
-        self.wait_voting(victim)
+        rolled_back = self.get_follower()
+        self.processes.kill(rolled_back.name)
+        backup = Path(f"{rolled_back.data}-copy")
+        shutil.copytree(rolled_back.data, backup)
+        self.processes.start(rolled_back)
+        self.wait_until_voting(rolled_back)
         for number in range(2, 30):
             self.put(number, wait=0.0)
-        self.wait_caught_up(victim)
-        self.wipe(victim)
-        shutil.copytree(copy, victim.data)
-        self.processes.start(victim)
+        self.wait_until_caught_up(rolled_back)
+        self.wipe(rolled_back)
+        shutil.copytree(backup, rolled_back.data)
+        self.processes.start(rolled_back)
 
-        def is_new() -> bool:
-            status = self.get_status(victim)
-            return status["votes"] and status["incarnation"] != f"founding-{victim.name}"
+        def is_readmitted() -> bool:
+            status = self.get_status(rolled_back)
+            return status["votes"] and status["incarnation"] != f"founding-{rolled_back.name}"
 
-        wait_for(is_new, "the disk readmitted as a new one")
-        self.wait_caught_up(victim)
+        wait_for(is_readmitted, "the member was readmitted under a new incarnation")
+        self.wait_until_caught_up(rolled_back)
         self.assertLessEqual({f"herd-{n}" for n in range(1, 30)}, self.list_names())
 
-    def test_founding_twice_is_refused(self) -> None:
+    def test_initialising_a_data_folder_in_use_is_rejected(self) -> None:
         with self.assertRaises(Exception) as caught:
             found(self.site.control[0])
         self.assertIn("in use", str(caught.exception))
 
 
 class IsolationTest(ControlTest):
-    """Each control process reaches each other one through a relay of its own."""
+    """Network partitions: each pair of control processes is connected through its own relays."""
 
     def change_site(self, site: Site) -> Site:
         site = super().change_site(site)
@@ -259,40 +259,42 @@
             controls.append(replace(settings, control=control))
         return replace(site, control=tuple(controls))
 
-    def isolate(self, name: str, isolated: bool, ways: tuple[str, ...] = ("to", "from")) -> None:
-        """Stall all bytes from and to a member; connections stay open."""
+    def isolate(
+        self, name: str, isolated: bool, directions: tuple[str, ...] = ("to", "from")
+    ) -> None:
+        """Stall traffic to and from a control process, with its connections open, or resume it."""
         for (a, b), (relay, _) in self.relays.items():
             if name == a:
-                relay.stalled["to"] = isolated and "from" in ways
-                relay.stalled["from"] = isolated and "to" in ways
+                relay.stalled["to"] = isolated and "from" in directions
+                relay.stalled["from"] = isolated and "to" in directions
             if name == b:
-                relay.stalled["to"] = isolated and "to" in ways
-                relay.stalled["from"] = isolated and "from" in ways
+                relay.stalled["to"] = isolated and "to" in directions
+                relay.stalled["from"] = isolated and "from" in directions
 
     def test_a_silently_isolated_leader_accepts_nothing_and_catches_up(self) -> None:
         self.put(1)
-        old = self.find_leader()
-        self.isolate(old.name, True)
-        alone = OperatorClient([old.url], "operator-tamarack-token", 3.0)
-        self.addCleanup(alone.close)
-        answer = alone.put(make_organisation(7), 0, "op-alone", 0.0)
+        former_leader = self.find_leader()
+        self.isolate(former_leader.name, True)
+        isolated_client = OperatorClient([former_leader.url], "operator-tamarack-token", 3.0)
+        self.addCleanup(isolated_client.close)
+        answer = isolated_client.put(make_organisation(7), 0, "op-alone", 0.0)
         self.assertTrue(isinstance(answer, Failure) or not answer.accepted)
         for number in range(10, 40):
             self.assertTrue(self.put(number, wait=0.0).accepted)
-        self.assertFalse(self.get_status(old)["leading"])
+        self.assertFalse(self.get_status(former_leader)["leading"])
         term = self.get_status(self.find_leader())["term"]
-        self.isolate(old.name, False)
-        self.wait_caught_up(old)
+        self.isolate(former_leader.name, False)
+        self.wait_until_caught_up(former_leader)
         self.assertEqual(self.get_status(self.find_leader())["term"], term)
         self.assertLessEqual({f"herd-{n}" for n in range(10, 40)}, self.list_names())
 
     def test_a_member_cut_one_way_does_not_disturb_the_others(self) -> None:
         self.put(1)
         leader = self.find_leader()
-        deaf = next(s for s in self.site.control if s.name != leader.name)
-        self.isolate(deaf.name, True, ("to",))
+        isolated = next(s for s in self.site.control if s.name != leader.name)
+        self.isolate(isolated.name, True, ("to",))
         for number in range(10, 20):
             self.assertTrue(self.put(number, wait=0.0).accepted)
-        self.isolate(deaf.name, False)
-        self.wait_caught_up(deaf)
+        self.isolate(isolated.name, False)
+        self.wait_until_caught_up(isolated)
         self.assertEqual(self.find_leader().name, leader.name)
