--- a/src/daleroad/consensus.py
+++ b/src/daleroad/consensus.py
@@ -1,18 +1,17 @@
-"""One member of a replicated log, as a pure state machine.
+"""Raft consensus core: one replica of a replicated log, as a state machine without I/O.
 
-Events go in, effects come out; time and randomness are injected. The rules are those of Raft
-with pre-vote, a leader lease, snapshots and membership changes. Two things are particular:
+Events go in and effects come out; time and randomness are injected. The protocol is Raft with
+pre-vote, a leader lease, snapshots and membership changes, and differs from it as follows:
 
-* a member is known by its *incarnation*, drawn when its disk is made. Votes and
-  acknowledgements count only from the incarnation in the membership, so a member whose disk was
-  lost can't vote until the leader has readmitted it;
-* a member shows a *mark* that grows with its starts and its log. The others remember it on their
-  disks, so a disk that went back to an older state is found out, distrusted and made new;
-* while a membership change is not committed, each decision needs a majority of the old and of
-  the new membership.
+* A member is identified by its name and the *incarnation* of its disk, a random identifier drawn
+  when the disk is created. Votes and acknowledgements count only from the incarnation in the
+  membership, so a member whose disk was lost can't vote until the leader has readmitted it.
+* A member reports a *mark* that grows with its starts and its log. The others persist the newest
+  mark, so a disk that was rolled back to an older state is detected and gets a new incarnation.
+* While membership changes are uncommitted, each decision needs a majority of the last committed
+  membership and of every later one.
 
-Effects must be carried out in this order: everything to save in one synced write, then messages,
-then commits.
+Effects must be executed in this order: all saves in one synced write, then sends, then commits.
 """
 
 from collections.abc import Iterable
@@ -56,7 +55,7 @@
 
 
 class Role(StrEnum):
-    """The part a member plays in its current term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -65,27 +64,34 @@
 
 @dataclass
 class _Progress:
-    """What a leader knows of another member."""
+    """A leader's replication state for another member.
+
+    :ivar match_index: highest log index known to be replicated to the member.
+    :ivar last_contact: when the newest request that the member answered was sent.
+    :ivar sent_standings: the standings last sent to the member.
+    :ivar acked_standings: the standings that the member has acknowledged.
+    :ivar standings_sent_at: when ``sent_standings`` was first sent.
+    """
 
     next_index: int
-    match: int = 0
+    match_index: int = 0
     incarnation: str = ""
-    heard: float = float("-inf")
+    last_contact: float = float("-inf")
     sent_at: float = float("-inf")
-    told: tuple[Standing, ...] = ()
-    knows: tuple[Standing, ...] = ()
-    told_at: float = float("-inf")
+    sent_standings: tuple[Standing, ...] = ()
+    acked_standings: tuple[Standing, ...] = ()
+    standings_sent_at: float = float("-inf")
 
 
 @dataclass
 class Replica:
-    """A member's volatile and durable state, with the rules that move it.
+    """State of one replica, volatile and durable, and its transitions.
 
     :param name: this member's name.
-    :param peers: the names of members that are sent the log beside those in the membership.
-    :param durable: what the disk held.
-    :param now: the time in seconds on a clock that never goes back.
-    :param random: the source of election timeouts.
+    :param peers: names of members that receive the log in addition to the voters.
+    :param durable: the state loaded from disk.
+    :param now: the time in seconds on a monotonic clock.
+    :param random: source of election timeouts and identifiers.
     """
 
     name: str
@@ -99,7 +105,7 @@
     commit: int = 0
     _effects: list[Effect] = field(default_factory=list)
     _votes: set[Member] = field(default_factory=set)
-    _trial: bool = False
+    _pre_vote: bool = False
     _progress: dict[str, _Progress] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -112,25 +118,26 @@
         settled = min(self.durable.settled, self.last_index)
         if settled > self.commit:
             self._commit_to(settled)
-        # A restarted member forgot whom it heard last, so it waits as if it had just heard one.
-        self._heard_leader = self.now
-        self._set_election_time()
+        # The last contact with a leader is not persisted. A restarted member assumes that it is
+        # recent, and so grants no vote while a leader may still hold its lease.
+        self._last_leader_contact = self.now
+        self._reset_election_timeout()
         self._standings = Standings(self.durable, self.last_index, self.random)
         self._save_standing()
 
     @property
     def standing(self) -> Standing:
-        """How this member identifies itself."""
+        """The incarnation and recent runs that this member identifies itself by."""
         return self._standings.get_own(self.incarnation)
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Index of the last log entry."""
         return self.snapshot.index + len(self.log)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Term of the last log entry."""
         return self.log[-1].term if self.log else self.snapshot.term
 
     @property
@@ -139,9 +146,9 @@
         return self._memberships()[-1]
 
     def set_learners(self, names: Iterable[str]) -> None:
-        """Replace the members that are sent the log without a vote.
+        """Replace the non-voting members that receive the log.
 
-        :param names: members beside the membership, for example new ones that catch up.
+        :param names: members outside the membership, such as new ones that are catching up.
         """
         self.peers = tuple(sorted(set(names)))
         if self.role is not Role.LEADER:
@@ -153,41 +160,41 @@
             del self._progress[name]
 
     def list_caught_up(self) -> list[Member]:
-        """Return the members, as their disks are now, that hold all that is committed."""
+        """Return the members, with their current incarnations, that hold all committed entries."""
         return [
             Member(name, progress.incarnation)
             for name, progress in self._progress.items()
-            if progress.incarnation and progress.match >= self.commit
+            if progress.incarnation and progress.match_index >= self.commit
         ]
 
     def list_heard(self, since: float) -> set[str]:
-        """Return the names of the members that answered this leader after a time.
+        """Return the names of the members that answered a request sent since a given time.
 
-        :param since: the time.
+        :param since: the earliest time at which the request was sent.
         """
-        return {name for name, progress in self._progress.items() if progress.heard >= since}
+        return {name for name, progress in self._progress.items() if progress.last_contact >= since}
 
     def _list_peers(self) -> list[str]:
-        """Return the names of all others: those with a vote and those without."""
+        """Return the names of all other members, voters and learners."""
         voters = {member.name for members in self._memberships() for member in members}
         return sorted((voters | set(self.peers)) - {self.name})
 
     def get_settled_members(self) -> tuple[Member, ...]:
-        """Return the membership if no change of it is under way, else nothing."""
-        found = self._memberships()
-        return found[0] if len(found) == 1 else ()
+        """Return the membership, or an empty tuple while a change of it is uncommitted."""
+        memberships = self._memberships()
+        return memberships[0] if len(memberships) == 1 else ()
 
     def has_lease(self, now: float) -> bool:
-        """Return whether this leader heard a majority lately enough to speak for the group.
+        """Return whether this member leads and holds a lease acknowledged by a majority.
 
-        :param now: the time.
+        :param now: the current time.
         """
         if self.role is not Role.LEADER:
             return False
-        return now < self._majority_heard() + self.lease_seconds
+        return now < self._majority_contact() + self.lease_seconds
 
     def get_term_at(self, index: int) -> int | None:
-        """Return the term of the entry at an index, or nothing if the log hasn't got it."""
+        """Return the term of the entry at an index, or ``None`` if the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last_index:
@@ -195,37 +202,40 @@
         return None
 
     def tick(self, now: float) -> list[Effect]:
-        """Let time pass.
+        """Process timeouts: send heartbeats as leader, start an election otherwise.
 
-        :param now: the time.
+        :param now: the current time.
         """
         self.now = max(self.now, now)
         if self.role is Role.LEADER:
             self._tick_leader()
-        elif self.now >= self._election_at and self._may_vote():
-            self._start_election(trial=True)
-        return self._take_effects()
+        elif self.now >= self._election_deadline and self._is_voter():
+            self._start_election(pre_vote=True)
+        return self._drain_effects()
 
     def propose(self, payloads: Iterable[str], now: float) -> list[int] | Failure:
         """Append changes to the log as leader and return their indexes.
 
-        The effects are fetched by the next :meth:`take`.
+        The effects are returned by the next :meth:`take`, or by any other method that returns
+        effects.
 
-        :param payloads: one text a change.
-        :param now: the time.
+        :param payloads: one text per change.
+        :param now: the current time.
         """
         self.now = max(self.now, now)
         if not self.has_lease(now):
             return Failure(FailureKind.NOT_LEADER, self.leader)
-        fresh = self._append(EntryKind.CHANGE, list(payloads))
+        appended = self._append(EntryKind.CHANGE, list(payloads))
         self._send_appends(force=False)
-        return [entry.index for entry in fresh]
+        return [entry.index for entry in appended]
 
     def propose_members(self, members: tuple[Member, ...], now: float) -> Failure | int:
-        """Append a new membership; one at a time, and only once this term has committed.
+        """Append a membership change to the log as leader and return its index.
+
+        Fails while another change is uncommitted, or until an entry of this term is committed.
 
-        :param members: the whole new membership.
-        :param now: the time.
+        :param members: the complete new membership.
+        :param now: the current time.
         """
         self.now = max(self.now, now)
         if not self.has_lease(now):
@@ -238,70 +248,72 @@
         return entry.index
 
     def receive(self, message: Message, now: float) -> list[Effect]:
-        """Take a message from another member.
+        """Process a message from another member.
 
         :param message: the message.
-        :param now: the time.
+        :param now: the current time.
         """
         self.now = max(self.now, now)
         match message:
             case VoteRequest():
-                self._take_vote_request(message)
+                self._handle_vote_request(message)
             case VoteReply():
-                self._take_vote_reply(message)
+                self._handle_vote_reply(message)
             case AppendRequest():
-                self._take_append(message)
+                self._handle_append(message)
             case AppendReply():
-                self._take_append_reply(message)
+                self._handle_append_reply(message)
             case SnapshotRequest():
-                self._take_snapshot(message)
+                self._handle_snapshot(message)
             case Distrust():
-                self._take_distrust(message)
-        return self._take_effects()
+                self._handle_distrust(message)
+        return self._drain_effects()
 
     def compact(self, index: int, state: str) -> list[Effect]:
-        """Replace the log up to an applied index by a snapshot.
+        """Replace the log up to a committed index by a snapshot.
 
-        :param index: the last index the state includes.
-        :param state: the state as text.
+        Does nothing if the index is not committed or a snapshot covers it already.
+
+        :param index: the last index that the state includes.
+        :param state: the serialised state.
         """
         term = self.get_term_at(index)
         if term is None or index <= self.snapshot.index or index > self.commit:
             return []
-        members = self._members_at(index)
+        members = self._get_membership_at(index)
         kept = self.log[index - self.snapshot.index :]
         self.snapshot = Snapshot(index, term, members, state)
         self.log = kept
         self._effects.append(SaveSnapshot(self.snapshot, install=False))
-        return self._take_effects()
+        return self._drain_effects()
 
     def take(self) -> list[Effect]:
-        """Return the effects that proposals left."""
-        return self._take_effects()
+        """Return the pending effects, such as those of proposals, and clear them."""
+        return self._drain_effects()
 
     # Memberships and majorities.
 
     def _memberships(self) -> list[tuple[Member, ...]]:
-        """Return the last committed membership and those after it."""
+        """Return the last committed membership and all later, uncommitted ones."""
         return list_memberships(self.snapshot.members, self.log, self.commit)
 
-    def _members_at(self, index: int) -> tuple[Member, ...]:
+    def _get_membership_at(self, index: int) -> tuple[Member, ...]:
         earlier = (entry for entry in self.log if entry.index <= index)
         return list_memberships(self.snapshot.members, earlier, index)[0]
 
-    def _may_vote(self) -> bool:
-        """Return whether this disk is one that counts in the newest membership."""
+    def _is_voter(self) -> bool:
+        """Return whether this member, with its current incarnation, is in the newest membership."""
         return Member(self.name, self.incarnation) in self.members
 
-    def _majority_heard(self) -> float:
-        heard = {Member(n, p.incarnation): p.heard for n, p in self._progress.items()}
-        heard[Member(self.name, self.incarnation)] = self.now
-        return find_majority_value(self._memberships(), heard)
+    def _majority_contact(self) -> float:
+        contacts = {Member(n, p.incarnation): p.last_contact for n, p in self._progress.items()}
+        contacts[Member(self.name, self.incarnation)] = self.now
+        return find_majority_value(self._memberships(), contacts)
 
-    # Disks that went back.
+    # Rollback detection.
 
-    def _mark_growth(self) -> None:
-        """Raise the mark when the log grew by enough entries."""
+    def _update_mark(self) -> None:
+        """Raise and save the mark if the log has grown by enough entries."""
         if self._standings.needs_mark(self.last_index):
             self._standings.raise_mark(self.last_index)
             self._save_standing()
@@ -310,51 +322,57 @@
         self._effects.append(SaveStanding(self.standing, self._standings.list_seen()))
 
     def _is_trusted(self, sender: str, standing: Standing) -> bool:
-        """Return whether a member's disk has not gone back; tell it otherwise."""
-        newer = self._standings.find_newer(standing)
+        """Return whether a member's disk was not rolled back, and record its standing.
+
+        A member whose disk was rolled back is notified.
+        """
+        newer = self._standings.find_rollback(standing)
         if newer is not None:
             self._effects.append(Send(sender, Distrust(self.name, newer)))
             return False
-        if self._standings.note(standing):
+        if self._standings.record(standing):
             self._save_standing()
         return True
 
-    def _learn_seen(self, seen: tuple[Standing, ...]) -> None:
-        """Take over what the leader has seen of other disks."""
-        if self._standings.learn(seen, self.incarnation):
+    def _merge_seen(self, seen: tuple[Standing, ...]) -> None:
+        """Merge the standings that the leader has seen, and save any that are new."""
+        if self._standings.merge(seen, self.incarnation):
             self._save_standing()
 
     def get_seen(self) -> dict[str, Standing]:
-        """Return the newest standing seen of each other disk, by incarnation."""
+        """Return the newest standing seen of each other disk, keyed by incarnation."""
         return self._standings.get_seen()
 
-    def _take_distrust(self, message: Distrust) -> None:
-        """Become a member with a new disk if this one went back."""
+    def _handle_distrust(self, message: Distrust) -> None:
+        """Take a new incarnation if this disk was rolled back.
+
+        The member then has no vote until the leader has readmitted it.
+        """
         seen = message.seen
         if seen.incarnation != self.incarnation or self.standing.includes(seen):
             return
         self.incarnation = f"{self.random.getrandbits(128):032x}"
         self._save_standing()
-        self._follow(self.term, "")
+        self._become_follower(self.term, "")
 
     # Elections.
 
-    def _set_election_time(self) -> None:
-        self._election_at = self.now + self.random.uniform(
+    def _reset_election_timeout(self) -> None:
+        self._election_deadline = self.now + self.random.uniform(
             ELECTION_MIN_SECONDS, ELECTION_MAX_SECONDS
         )
 
-    def _start_election(self, trial: bool) -> None:
-        self._set_election_time()
+    def _start_election(self, pre_vote: bool) -> None:
+        self._reset_election_timeout()
         self.role = Role.CANDIDATE
         self.leader = ""
-        self._trial = trial
+        self._pre_vote = pre_vote
         self._votes = {Member(self.name, self.incarnation)}
-        if not trial:
+        if not pre_vote:
             self._set_term(self.term + 1, self.name)
-        term = self.term + 1 if trial else self.term
+        term = self.term + 1 if pre_vote else self.term
         request = VoteRequest(
-            term, self.name, self.standing, self.last_index, self.last_term, trial
+            term, self.name, self.standing, self.last_index, self.last_term, pre_vote
         )
         self._effects.extend(Send(peer, request) for peer in self._list_peers())
         self._count_votes()
@@ -362,30 +380,30 @@
     def _count_votes(self) -> None:
         if not is_majority(self._memberships(), self._votes):
             return
-        if self._trial:
-            self._start_election(trial=False)
+        if self._pre_vote:
+            self._start_election(pre_vote=False)
         else:
-            self._lead()
+            self._become_leader()
 
-    def _take_vote_request(self, request: VoteRequest) -> None:
-        fresh = self.now < self._heard_leader + ELECTION_MIN_SECONDS
+    def _handle_vote_request(self, request: VoteRequest) -> None:
+        heard_leader = self.now < self._last_leader_contact + ELECTION_MIN_SECONDS
         leading = self.role is Role.LEADER and self.has_lease(self.now)
-        newer = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
-        may = self._may_vote() and newer and not fresh and not leading
-        may = self._is_trusted(request.sender, request.standing) and may
+        up_to_date = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
+        eligible = self._is_voter() and up_to_date and not heard_leader and not leading
+        eligible = self._is_trusted(request.sender, request.standing) and eligible
         if request.trial:
-            granted = may and request.term > self.term
+            granted = eligible and request.term > self.term
             self._reply_vote(request, granted)
             return
-        if fresh or leading:
+        if heard_leader or leading:
             self._reply_vote(request, False)
             return
         if request.term > self.term:
-            self._follow(request.term, "")
-        granted = may and request.term == self.term and self.vote in ("", request.sender)
+            self._become_follower(request.term, "")
+        granted = eligible and request.term == self.term and self.vote in ("", request.sender)
         if granted:
             self._set_term(self.term, request.sender)
-            self._set_election_time()
+            self._reset_election_timeout()
         self._reply_vote(request, granted)
 
     def _reply_vote(self, request: VoteRequest, granted: bool) -> None:
@@ -398,13 +416,17 @@
         )
         self._effects.append(Send(request.sender, reply))
 
-    def _take_vote_reply(self, reply: VoteReply) -> None:
+    def _handle_vote_reply(self, reply: VoteReply) -> None:
         if not reply.granted:
             if reply.term > self.term:
-                self._follow(reply.term, "")
+                self._become_follower(reply.term, "")
             return
         expected = self.term + 1 if reply.trial else self.term
-        if self.role is not Role.CANDIDATE or reply.trial != self._trial or reply.term != expected:
+        if (
+            self.role is not Role.CANDIDATE
+            or reply.trial != self._pre_vote
+            or reply.term != expected
+        ):
             return
         if not self._is_trusted(reply.sender, reply.standing):
             return
@@ -417,17 +439,17 @@
             self.vote = vote
             self._effects.append(SaveVote(term, vote))
 
-    def _follow(self, term: int, leader: str) -> None:
+    def _become_follower(self, term: int, leader: str) -> None:
         if term > self.term:
             self._set_term(term, "")
         self.role = Role.FOLLOWER
         self.leader = leader
         self._progress = {}
-        self._set_election_time()
+        self._reset_election_timeout()
 
-    # Leading.
+    # Leader.
 
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         self.role = Role.LEADER
         self.leader = self.name
         incarnations = {m.name: m.incarnation for m in self._votes}
@@ -435,31 +457,31 @@
             peer: _Progress(self.last_index + 1, incarnation=incarnations.get(peer, ""))
             for peer in self._list_peers()
         }
-        self._led_since = self.now
+        self._leader_since = self.now
         self._append(EntryKind.EMPTY, [""])
         self._send_appends(force=True)
 
     def _tick_leader(self) -> None:
-        silent_since = max(self._majority_heard(), self._led_since)
-        if self.now > silent_since + ELECTION_MIN_SECONDS:
-            self._follow(self.term, "")
+        last_contact = max(self._majority_contact(), self._leader_since)
+        if self.now > last_contact + ELECTION_MIN_SECONDS:
+            self._become_follower(self.term, "")
             return
         self._send_appends(force=False)
 
     def _append(self, kind: EntryKind, payloads: list[str]) -> tuple[LogEntry, ...]:
         first = self.last_index + 1
-        fresh = tuple(
+        entries = tuple(
             LogEntry(first + offset, self.term, kind, payload)
             for offset, payload in enumerate(payloads)
         )
-        self._extend(fresh)
-        return fresh
+        self._extend(entries)
+        return entries
 
     def _extend(self, entries: tuple[LogEntry, ...]) -> None:
         self.log.extend(entries)
         self._effects.append(SaveEntries(entries[0].index, entries))
         self._save_commit()
-        self._mark_growth()
+        self._update_mark()
         self._advance_commit()
 
     def _send_appends(self, force: bool) -> None:
@@ -488,25 +510,25 @@
             entries,
             self.commit,
             self.now,
-            self._tell_seen(progress),
+            self._list_unacked_standings(progress),
         )
-        # Sent entries count as under way; a refusal or a heartbeat mismatch sets this back.
+        # Optimistic pipelining: a rejected append resets the next index.
         progress.next_index += len(entries)
         self._effects.append(Send(peer, request))
 
-    def _tell_seen(self, progress: _Progress) -> tuple[Standing, ...]:
-        """Return the standings seen, until the member has acknowledged a message with them."""
+    def _list_unacked_standings(self, progress: _Progress) -> tuple[Standing, ...]:
+        """Return the standings to send, or nothing once the member has acknowledged them."""
         seen = (self.standing, *self._standings.list_seen())
-        if seen == progress.knows:
+        if seen == progress.acked_standings:
             return ()
-        if seen != progress.told:
-            progress.told = seen
-            progress.told_at = self.now
+        if seen != progress.sent_standings:
+            progress.sent_standings = seen
+            progress.standings_sent_at = self.now
         return seen
 
-    def _take_append_reply(self, reply: AppendReply) -> None:
+    def _handle_append_reply(self, reply: AppendReply) -> None:
         if reply.term > self.term:
-            self._follow(reply.term, "")
+            self._become_follower(reply.term, "")
             return
         progress = self._progress.get(reply.sender)
         if self.role is not Role.LEADER or reply.term != self.term or progress is None:
@@ -515,27 +537,27 @@
             return
         if reply.standing.incarnation != progress.incarnation:
             progress.incarnation = reply.standing.incarnation
-            progress.match = 0
-        progress.heard = max(progress.heard, reply.sent_at)
-        if reply.sent_at >= progress.told_at:
-            progress.knows = progress.told
+            progress.match_index = 0
+        progress.last_contact = max(progress.last_contact, reply.sent_at)
+        if reply.sent_at >= progress.standings_sent_at:
+            progress.acked_standings = progress.sent_standings
         if reply.ok:
-            progress.match = max(progress.match, reply.last_index)
-            progress.next_index = max(progress.next_index, progress.match + 1)
+            progress.match_index = max(progress.match_index, reply.last_index)
+            progress.next_index = max(progress.next_index, progress.match_index + 1)
             self._advance_commit()
             self._readmit(reply.sender, progress)
             return
-        if reply.last_index < progress.match:
-            # The disk went back behind what it acknowledged: nothing it said counts any more.
-            progress.match = 0
+        if reply.last_index < progress.match_index:
+            # The member lost entries that it had acknowledged, so its match no longer counts.
+            progress.match_index = 0
         progress.next_index = max(1, min(reply.last_index + 1, progress.next_index - 1))
         self._send_append(reply.sender, progress)
 
     def _readmit(self, name: str, progress: _Progress) -> None:
-        """Let a member with a new disk vote again once it holds all that is committed."""
+        """Propose the new incarnation of a member once it holds all committed entries."""
         member = Member(name, progress.incarnation)
         names = [m.name for m in self.members]
-        if member in self.members or name not in names or progress.match < self.commit:
+        if member in self.members or name not in names or progress.match_index < self.commit:
             return
         changed = tuple(member if m.name == name else m for m in self.members)
         self.propose_members(changed, self.now)
@@ -543,7 +565,9 @@
     def _advance_commit(self) -> None:
         if self.role is not Role.LEADER:
             return
-        matches = {Member(n, p.incarnation): float(p.match) for n, p in self._progress.items()}
+        matches = {
+            Member(n, p.incarnation): float(p.match_index) for n, p in self._progress.items()
+        }
         matches[Member(self.name, self.incarnation)] = float(self.last_index)
         reached = find_majority_value(self._memberships(), matches)
         if reached > self.commit and self.get_term_at(int(reached)) == self.term:
@@ -556,20 +580,20 @@
         self._effects.append(Commit(entries))
         if not any(entry.kind is EntryKind.MEMBERS for entry in entries):
             return
-        # Until a member knows that the change is committed, also after a restart, it needs
-        # majorities of both memberships, and the old one may have lost a disk.
+        # A member that does not know of the commit, also after a restart, needs majorities of both
+        # memberships, and the old one may include a lost disk. So the commit is saved and sent now.
         self._effects.append(SaveSettled(index))
         if self.role is Role.LEADER:
             self._send_appends(force=True)
 
-    # Following.
+    # Follower.
 
-    def _take_append(self, request: AppendRequest) -> None:
+    def _handle_append(self, request: AppendRequest) -> None:
         if request.term < self.term:
             self._reply_append(request, False, self.last_index)
             return
-        self._heed(request.term, request.sender)
-        self._learn_seen(request.seen)
+        self._accept_leader(request.term, request.sender)
+        self._merge_seen(request.seen)
         if request.prev_index < self.snapshot.index:
             self._reply_append(request, False, self.snapshot.index)
             return
@@ -577,39 +601,39 @@
             hint = min(self.last_index, max(request.prev_index - 1, self.snapshot.index))
             self._reply_append(request, False, hint)
             return
-        merged = self._merge(request.entries)
+        appended = self._append_from_leader(request.entries)
         last = request.prev_index + len(request.entries)
         if min(request.commit, last) > self.commit:
             self._commit_to(min(request.commit, last))
-        if merged:
+        if appended:
             self._save_commit()
         self._reply_append(request, True, last)
 
-    def _heed(self, term: int, leader: str) -> None:
-        """Accept a leader of this or a newer term."""
+    def _accept_leader(self, term: int, leader: str) -> None:
+        """Accept the leader of the current or a newer term and restart the election timeout."""
         if term > self.term or self.role is not Role.FOLLOWER or self.leader != leader:
-            self._follow(term, leader)
-        self._heard_leader = self.now
-        self._set_election_time()
+            self._become_follower(term, leader)
+        self._last_leader_contact = self.now
+        self._reset_election_timeout()
 
-    def _merge(self, entries: tuple[LogEntry, ...]) -> bool:
-        """Take over entries of a leader; return whether any was new."""
+    def _append_from_leader(self, entries: tuple[LogEntry, ...]) -> bool:
+        """Append a leader's entries, replacing conflicting ones; return whether any was new."""
         for offset, entry in enumerate(entries):
             if self.get_term_at(entry.index) == entry.term:
                 continue
             del self.log[entry.index - self.snapshot.index - 1 :]
-            fresh = entries[offset:]
-            self.log.extend(fresh)
-            self._effects.append(SaveEntries(entry.index, fresh))
-            self._mark_growth()
+            new = entries[offset:]
+            self.log.extend(new)
+            self._effects.append(SaveEntries(entry.index, new))
+            self._update_mark()
             return True
         return False
 
     def _save_commit(self) -> None:
-        """Save what is known as committed, in the write that saves entries anyway.
+        """Save the commit index in the write that saves entries.
 
-        A member that starts again can then apply it at once. Where all members were down, nobody
-        could otherwise do so until one of them leads: 0.9 s later in a loss of all power.
+        A restarted member can then apply the committed entries at once, instead of waiting for a
+        leader to be elected, for example after all members were down.
         """
         if self.commit > self.snapshot.index:
             self._effects.append(SaveSettled(self.commit))
@@ -620,11 +644,11 @@
         reply = AppendReply(self.term, self.name, self.standing, ok, last_index, request.sent_at)
         self._effects.append(Send(request.sender, reply))
 
-    def _take_snapshot(self, request: SnapshotRequest) -> None:
+    def _handle_snapshot(self, request: SnapshotRequest) -> None:
         if request.term < self.term:
             self._reply_append(request, False, self.last_index)
             return
-        self._heed(request.term, request.sender)
+        self._accept_leader(request.term, request.sender)
         if request.snapshot.index > self.commit:
             self.snapshot = request.snapshot
             self.log = []
@@ -632,7 +656,7 @@
             self._effects.append(SaveSnapshot(replace(request.snapshot), install=True))
         self._reply_append(request, True, max(self.commit, request.snapshot.index))
 
-    def _take_effects(self) -> list[Effect]:
+    def _drain_effects(self) -> list[Effect]:
         effects = self._effects
         self._effects = []
         return effects
--- a/src/daleroad/quorum.py
+++ b/src/daleroad/quorum.py
@@ -1,7 +1,7 @@
-"""Memberships of a replicated log, and the majorities that decide in them. Pure.
+"""Quorum rules of the replicated log: memberships in force and majorities over them.
 
-While a change of the membership is not committed, each decision needs a majority of the last
-committed membership and of each one after it.
+Pure functions. While membership changes are uncommitted, each decision needs a majority of the
+last committed membership and of every later one.
 """
 
 from collections.abc import Iterable
@@ -14,40 +14,40 @@
 def list_memberships(
     committed: Membership, log: Iterable[LogEntry], commit: int
 ) -> list[Membership]:
-    """Return the last committed membership and those after it.
+    """Return the last committed membership and all later, uncommitted ones.
 
     :param committed: the membership before the log's first entry.
     :param log: entries in order.
     :param commit: index of the last committed entry.
     """
-    found = [committed]
+    memberships = [committed]
     for entry in log:
         if entry.kind is not EntryKind.MEMBERS:
             continue
         if entry.index <= commit:
-            found = [entry.members]
+            memberships = [entry.members]
         else:
-            found.append(entry.members)
-    return found
+            memberships.append(entry.members)
+    return memberships
 
 
-def is_majority(memberships: Iterable[Membership], yes: set[Member]) -> bool:
-    """Return whether some members are a majority of every membership.
+def is_majority(memberships: Iterable[Membership], agreeing: set[Member]) -> bool:
+    """Return whether a set of members includes a majority of every membership.
 
-    :param memberships: those that must agree.
-    :param yes: the members that agree.
+    :param memberships: the memberships in force.
+    :param agreeing: the members that agree.
     """
-    return all(2 * len(yes.intersection(members)) > len(members) for members in memberships)
+    return all(2 * len(agreeing.intersection(members)) > len(members) for members in memberships)
 
 
 def find_majority_value(memberships: Iterable[Membership], values: dict[Member, float]) -> float:
     """Return the largest value that a majority of every membership has reached.
 
-    :param memberships: those that must have reached it.
-    :param values: what each member has reached; one that is missing has reached nothing.
+    :param memberships: the memberships in force.
+    :param values: the value that each member has reached; missing members have reached none.
     """
-    worst = float("inf")
+    lowest = float("inf")
     for members in memberships:
         ranked = sorted((values.get(m, float("-inf")) for m in members), reverse=True)
-        worst = min(worst, ranked[len(members) // 2] if ranked else float("-inf"))
-    return worst
+        lowest = min(lowest, ranked[len(members) // 2] if ranked else float("-inf"))
+    return lowest
--- a/src/daleroad/standings.py
+++ b/src/daleroad/standings.py
@@ -1,7 +1,7 @@
-"""Marks by which a group finds out a disk that went back to an older state. Pure.
+"""Detection of disks that were rolled back to an older state. Does no I/O.
 
-Each member shows a mark that grows with its starts and its log; the others remember on their disks
-the newest one they saw. A member that shows less than was seen of it has lost what it promised.
+Each member reports a mark that grows with its starts and its log. The others persist the newest
+mark that they saw. A member that reports a lower one has lost votes or entries that it had saved.
 """
 
 from collections.abc import Iterable
@@ -12,11 +12,11 @@
 
 
 class Standings:
-    """A member's own standing, and the newest ones seen of others.
+    """A member's own standing and the newest standings seen of others.
 
-    :param durable: what the disk held.
-    :param last_index: index of the last entry of its log.
-    :param random: names this run.
+    :param durable: the state loaded from disk.
+    :param last_index: index of the last log entry.
+    :param random: source of the identifier of this run.
     """
 
     def __init__(self, durable: Durable, last_index: int, random: Random) -> None:
@@ -27,14 +27,14 @@
         self.raise_mark(last_index)
 
     def get_own(self, incarnation: str) -> Standing:
-        """Return how this member identifies itself.
+        """Return this member's own standing.
 
-        :param incarnation: of its disk.
+        :param incarnation: the incarnation of its disk.
         """
         return Standing(incarnation, self._runs)
 
     def get_seen(self) -> dict[str, Standing]:
-        """Return the newest standing seen of each other disk, by incarnation."""
+        """Return the newest standing seen of each other disk, keyed by incarnation."""
         return dict(self._seen)
 
     def list_seen(self) -> tuple[Standing, ...]:
@@ -42,49 +42,49 @@
         return tuple(self._seen.values())
 
     def raise_mark(self, last_index: int) -> None:
-        """Show a higher mark from now on.
+        """Raise this run's mark above those of all runs.
 
-        :param last_index: index of the last entry.
+        :param last_index: index of the last log entry.
         """
         mark = max(run.mark for run in self._runs) + 1
         self._runs = (*self._runs[:-1], Run(self._runs[-1].name, mark))
         self._marked_at = last_index // MARK_ENTRIES
 
     def needs_mark(self, last_index: int) -> bool:
-        """Return whether the log grew past another MARK_ENTRIES entries.
+        """Return whether the log has passed another multiple of MARK_ENTRIES since the last mark.
 
-        :param last_index: index of the last entry.
+        :param last_index: index of the last log entry.
         """
         return last_index // MARK_ENTRIES > self._marked_at
 
-    def find_newer(self, standing: Standing) -> Standing | None:
-        """Return what was seen of a disk that has gone back since, or nothing.
+    def find_rollback(self, standing: Standing) -> Standing | None:
+        """Return the current standing seen of a rolled-back disk, or ``None`` if it was not.
 
-        :param standing: how the member identifies itself.
+        :param standing: the standing that the member reports.
         """
         seen = self._seen.get(standing.incarnation)
         return None if seen is None or standing.includes(seen) else seen
 
-    def note(self, standing: Standing) -> bool:
-        """Remember a member's standing; return whether it is news.
+    def record(self, standing: Standing) -> bool:
+        """Record a member's standing; return whether it differs from the recorded one.
 
-        :param standing: how the member identifies itself.
+        :param standing: the standing that the member reports.
         """
         if self._seen.get(standing.incarnation) == standing:
             return False
         self._seen[standing.incarnation] = standing
         return True
 
-    def learn(self, seen: Iterable[Standing], own: str) -> bool:
-        """Take over what the leader has seen of other disks; return whether any is news.
+    def merge(self, seen: Iterable[Standing], own: str) -> bool:
+        """Merge the standings that the leader has seen; return whether any changed.
 
-        :param seen: what it has seen.
-        :param own: incarnation of this member's disk, of which others know nothing better.
+        :param seen: the leader's standings; older ones than those recorded are ignored.
+        :param own: incarnation of this member's disk, whose standing is ignored.
         """
-        newer = [
+        current = [
             standing
             for standing in seen
-            if standing.incarnation != own and self.find_newer(standing) is None
+            if standing.incarnation != own and self.find_rollback(standing) is None
         ]
-        # Each one is noted, so this must not stop at the first that is news.
-        return sum(self.note(standing) for standing in newer) > 0
+        # Not any(): it would stop at the first change and leave the rest unrecorded.
+        return sum(self.record(standing) for standing in current) > 0
--- a/src/daleroad/voters.py
+++ b/src/daleroad/voters.py
@@ -1,43 +1,45 @@
-"""Which processes should vote in a replicated log. Pure.
+"""Automatic voter selection for a replicated log. Pure functions.
 
-Without an operator: a process with a new disk takes the vote of one that went silent, and the
-number of votes grows, always odd, as long as there are disks for it.
+A standby that has caught up replaces an unresponsive voter, and the number of voters grows, always
+odd, while standbys are available.
 """
 
 from collections.abc import Collection
 
 from daleroad.logtypes import Member
 
-VOTERS_MOST = 5
-"""Votes in one group; five bear the loss of two disks, and more only slow each commit."""
+MAX_VOTERS = 5
+"""Maximum voters in a group. Five tolerate the loss of two; more would slow each commit."""
 
 SILENT_SECONDS = 1.5
-"""A voter that did not answer its leader for so long may lose its vote to a standby; several
-heartbeats, and well below the seconds that a second loss is allowed to follow in."""
+"""Time without an answer to the leader after which a standby may replace a voter.
+
+It spans several heartbeats and is well below the time after which a second loss must be tolerated.
+"""
 
 
 def plan_voters(
     members: tuple[Member, ...],
     heard: Collection[str],
     standbys: Collection[Member],
-    most: int = VOTERS_MOST,
+    max_voters: int = MAX_VOTERS,
 ) -> tuple[Member, ...] | None:
-    """Return a better membership, or nothing if the present one will do.
+    """Return an improved membership, or ``None`` if the current one needs no change.
 
-    :param members: the present membership.
-    :param heard: names of the members that answered lately, the leader's own included.
-    :param standbys: processes with a disk that hold all that is committed.
-    :param most: votes at most.
+    :param members: the current membership.
+    :param heard: names of the members that answered recently, including the leader itself.
+    :param standbys: members that hold all committed entries; voters among them are ignored.
+    :param max_voters: maximum number of voters.
     """
     names = {member.name for member in members}
-    spare = sorted((s for s in standbys if s.name not in names), key=lambda s: s.name)
-    if not spare:
+    candidates = sorted((s for s in standbys if s.name not in names), key=lambda s: s.name)
+    if not candidates:
         return None
     silent = [member for member in members if member.name not in heard]
     if silent:
-        return tuple(spare[0] if member == silent[0] else member for member in members)
-    size = min(most, len(members) + len(spare))
+        return tuple(candidates[0] if member == silent[0] else member for member in members)
+    size = min(max_voters, len(members) + len(candidates))
     size -= 1 - size % 2
     if size <= len(members):
         return None
-    return (*members, *spare[: size - len(members)])
+    return (*members, *candidates[: size - len(members)])
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,7 +1,7 @@
-"""Deterministic tests of the replicated log under random faults.
+"""Deterministic simulation tests of the consensus core under random faults.
 
-A small world of replicas and disks runs in virtual time. Messages are lost, delayed, doubled and
-reordered; members crash and lose what was not saved; a disk is wiped; links are cut one way.
+Replicas and disks run in virtual time. Messages are lost, delayed, duplicated and reordered;
+members crash and lose unsaved state; disks are wiped or rolled back; links are cut one way.
 """
 
 import unittest
@@ -35,7 +35,7 @@
 
 
 def save(durable: Durable, effect: Effect) -> Durable:
-    """Return a disk after an effect."""
+    """Return the disk content after an effect."""
     match effect:
         case SaveVote(term, vote):
             return replace(durable, term=term, vote=vote)
@@ -54,24 +54,24 @@
 
 
 @dataclass
-class World:
-    """Replicas, disks and the messages between them."""
+class Cluster:
+    """Simulated replicas, their disks and the messages in flight."""
 
     random: Random
     loss: float = 0.0
     now: float = 0.0
     disks: dict[str, Durable] = field(default_factory=dict)
-    alive: dict[str, Replica] = field(default_factory=dict)
-    flying: list[tuple[float, str, str, Message]] = field(default_factory=list)
-    cuts: set[tuple[str, str]] = field(default_factory=set)
+    running: dict[str, Replica] = field(default_factory=dict)
+    in_flight: list[tuple[float, str, str, Message]] = field(default_factory=list)
+    cut_links: set[tuple[str, str]] = field(default_factory=set)
     committed: dict[int, LogEntry] = field(default_factory=dict)
     applied: dict[str, int] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
     proposed: int = 0
-    wipes: int = 0
-    copies: dict[str, Durable] = field(default_factory=dict)
+    disk_losses: int = 0
+    disks_at_start: dict[str, Durable] = field(default_factory=dict)
 
-    def found(self) -> None:
+    def bootstrap(self) -> None:
         members = tuple(Member(name, f"founding-{name}") for name in NAMES)
         for name in NAMES:
             self.disks[name] = Durable(f"founding-{name}", snapshot=Snapshot(1, 0, members, "s"))
@@ -79,28 +79,28 @@
 
     def start(self, name: str) -> None:
         disk = self.disks[name]
-        self.copies[name] = disk
-        self.alive[name] = Replica(name, NAMES, disk, self.now, Random(self.random.random()))
+        self.disks_at_start[name] = disk
+        self.running[name] = Replica(name, NAMES, disk, self.now, Random(self.random.random()))
         self.applied[name] = disk.snapshot.index
-        self.carry_out(name, self.alive[name].take(), faulty=False)
+        self.execute(name, self.running[name].take(), faulty=False)
 
     def crash(self, name: str) -> None:
-        self.alive.pop(name, None)
+        self.running.pop(name, None)
 
     def wipe(self, name: str) -> None:
         self.crash(name)
-        self.wipes += 1
-        self.disks[name] = Durable(f"new-{self.wipes}-{name}")
+        self.disk_losses += 1
+        self.disks[name] = Durable(f"new-{self.disk_losses}-{name}")
 
     def roll_back(self, name: str) -> None:
-        """Restart a member with its disk as it was before its present run."""
+        """Restart a member with its disk as it was when its current run started."""
         self.crash(name)
-        self.wipes += 1
-        self.disks[name] = self.copies[name]
+        self.disk_losses += 1
+        self.disks[name] = self.disks_at_start[name]
         self.start(name)
 
-    def carry_out(self, name: str, effects: list[Effect], faulty: bool) -> None:
-        """Save, then send, then commit; a crash may come before or after saving."""
+    def execute(self, name: str, effects: list[Effect], faulty: bool) -> None:
+        """Save, then send, then commit; a fault may crash the member before or after saving."""
         if faulty and effects and self.random.random() < 0.002:
             self.crash(name)
             return
@@ -119,12 +119,12 @@
                     self.applied[name] = snapshot.index
 
     def send(self, source: str, to: str, message: Message) -> None:
-        if (source, to) in self.cuts or self.random.random() < self.loss:
+        if (source, to) in self.cut_links or self.random.random() < self.loss:
             return
         copies = 2 if self.random.random() < self.loss / 2 else 1
         for _ in range(copies):
             delay = self.random.expovariate(1 / 0.02)
-            self.flying.append((self.now + delay, source, to, message))
+            self.in_flight.append((self.now + delay, source, to, message))
 
     def commit(self, name: str, entries: tuple[LogEntry, ...]) -> None:
         for entry in entries:
@@ -135,125 +135,129 @@
 
     def step(self, faulty: bool) -> None:
         self.now += STEP_SECONDS
-        due = [m for m in self.flying if m[0] <= self.now]
-        self.flying = [m for m in self.flying if m[0] > self.now]
+        due = [m for m in self.in_flight if m[0] <= self.now]
+        self.in_flight = [m for m in self.in_flight if m[0] > self.now]
         self.random.shuffle(due)
         for _, source, to, message in due:
-            replica = self.alive.get(to)
-            if replica is not None and (source, to) not in self.cuts:
-                self.carry_out(to, replica.receive(message, self.now), faulty)
+            replica = self.running.get(to)
+            if replica is not None and (source, to) not in self.cut_links:
+                self.execute(to, replica.receive(message, self.now), faulty)
         for name in NAMES:
-            replica = self.alive.get(name)
+            replica = self.running.get(name)
             if replica is not None:
-                self.carry_out(name, replica.tick(self.now), faulty)
+                self.execute(name, replica.tick(self.now), faulty)
         self.check_leaders()
 
     def check_leaders(self) -> None:
-        for name, replica in self.alive.items():
+        for name, replica in self.running.items():
             if replica.role is Role.LEADER:
                 known = self.leaders.setdefault(replica.term, name)
                 assert known == name, f"two leaders in term {replica.term}"
-        leased = [n for n, r in self.alive.items() if r.has_lease(self.now)]
+        leased = [n for n, r in self.running.items() if r.has_lease(self.now)]
         assert len(leased) <= 1, f"two leases: {leased}"
 
     def propose(self) -> None:
-        for name, replica in list(self.alive.items()):
+        for name, replica in list(self.running.items()):
             if replica.role is Role.LEADER:
                 self.proposed += 1
                 indexes = replica.propose([f"change-{self.proposed}"], self.now)
                 if not isinstance(indexes, Failure):
-                    self.carry_out(name, replica.take(), False)
+                    self.execute(name, replica.take(), False)
 
     def compact(self) -> None:
-        for name, replica in list(self.alive.items()):
+        for name, replica in list(self.running.items()):
             if self.applied[name] > replica.snapshot.index + 20:
-                self.carry_out(name, replica.compact(self.applied[name], "s"), False)
+                self.execute(name, replica.compact(self.applied[name], "s"), False)
 
-    def all_seen(self) -> bool:
-        """Return whether each member knows the present mark of each other's disk."""
+    def have_all_seen_standings(self) -> bool:
+        """Return whether each running member has seen the current standing of each other one."""
         return all(
             other is replica or replica.get_seen().get(other.incarnation) == other.standing
-            for replica in self.alive.values()
-            for other in self.alive.values()
+            for replica in self.running.values()
+            for other in self.running.values()
         )
 
     def get_leader(self) -> Replica | None:
-        for replica in self.alive.values():
+        for replica in self.running.values():
             if replica.has_lease(self.now):
                 return replica
         return None
 
-    def settle(self, steps: int = 400) -> Replica:
-        """Heal everything and run until there is a leader that has committed in its term."""
-        self.cuts.clear()
+    def recover(self, steps: int = 400) -> Replica:
+        """End all faults, start all members, run some steps and return the leader."""
+        self.cut_links.clear()
         self.loss = 0.0
         for name in NAMES:
-            if name not in self.alive:
+            if name not in self.running:
                 self.start(name)
         for _ in range(steps):
             self.step(faulty=False)
         leader = self.get_leader()
-        assert leader is not None, "no leader after healing"
+        assert leader is not None, "no leader after the faults ended"
         return leader
 
-    def all_vote(self) -> bool:
-        """Return whether a repair is over: each member runs and knows that all count."""
+    def are_all_voters(self) -> bool:
+        """Return whether all members run and know a membership of all current incarnations."""
         own = {Member(n, self.disks[n].incarnation) for n in NAMES}
-        known = [r.get_settled_members() for r in self.alive.values()]
+        known = [r.get_settled_members() for r in self.running.values()]
         return len(known) == len(NAMES) and all(set(members) == own for members in known)
 
 
-def make_world(seed: int, loss: float = 0.0) -> World:
-    world = World(Random(seed), loss)
-    world.found()
-    return world
+def make_cluster(seed: int, loss: float = 0.0) -> Cluster:
+    cluster = Cluster(Random(seed), loss)
+    cluster.bootstrap()
+    return cluster
 
 
-def wipe_and_start(world: World, name: str) -> None:
-    world.wipe(name)
-    world.start(name)
+def wipe_and_start(cluster: Cluster, name: str) -> None:
+    cluster.wipe(name)
+    cluster.start(name)
 
 
-def roll_back_once_seen(world: World, name: str) -> None:
-    # A disk that went back is found out by those who have heard of its newer state.
-    if world.all_seen():
-        world.roll_back(name)
+def roll_back_if_seen(cluster: Cluster, name: str) -> None:
+    # A rollback is detected only by members that have seen the newer standing.
+    if cluster.have_all_seen_standings():
+        cluster.roll_back(name)
 
 
 class SafetyTest(unittest.TestCase):
-    def run_faulty(self, seed: int, lose: Callable[[World, str], None] | None = None) -> World:
-        world = make_world(seed, loss=0.05)
-        random = world.random
+    def run_faulty(
+        self, seed: int, damage_disk: Callable[[Cluster, str], None] | None = None
+    ) -> Cluster:
+        cluster = make_cluster(seed, loss=0.05)
+        random = cluster.random
         for _ in range(FAULTY_STEPS):
-            world.step(faulty=True)
+            cluster.step(faulty=True)
             if random.random() < 0.2:
-                world.propose()
+                cluster.propose()
             if random.random() < 0.01:
-                world.compact()
-            self.disturb(world, lose)
-        leader = world.settle()
-        last = max(world.committed, default=0)
+                cluster.compact()
+            self.inject_faults(cluster, damage_disk)
+        leader = cluster.recover()
+        last = max(cluster.committed, default=0)
         self.assertGreaterEqual(leader.commit, last)
         for entry in leader.log:
-            if entry.index in world.committed:
-                self.assertEqual(world.committed[entry.index], entry)
-        return world
-
-    def disturb(self, world: World, lose: Callable[[World, str], None] | None) -> None:
-        random = world.random
+            if entry.index in cluster.committed:
+                self.assertEqual(cluster.committed[entry.index], entry)
+        return cluster
+
+    def inject_faults(
+        self, cluster: Cluster, damage_disk: Callable[[Cluster, str], None] | None
+    ) -> None:
+        random = cluster.random
         if random.random() < 0.01:
-            world.crash(random.choice(NAMES))
+            cluster.crash(random.choice(NAMES))
         if random.random() < 0.03:
-            down = [name for name in NAMES if name not in world.alive]
+            down = [name for name in NAMES if name not in cluster.running]
             if down:
-                world.start(random.choice(down))
+                cluster.start(random.choice(down))
         if random.random() < 0.01:
-            world.cuts.add((random.choice(NAMES), random.choice(NAMES)))
+            cluster.cut_links.add((random.choice(NAMES), random.choice(NAMES)))
         if random.random() < 0.02:
-            world.cuts.clear()
-        # A disk is lost only while all three count, as the promise is for one lost disk.
-        if lose is not None and random.random() < 0.01 and world.all_vote():
-            lose(world, random.choice(NAMES))
+            cluster.cut_links.clear()
+        # At most one lost disk is tolerated at a time, so the previous one must be repaired.
+        if damage_disk is not None and random.random() < 0.01 and cluster.are_all_voters():
+            damage_disk(cluster, random.choice(NAMES))
 
     def test_no_committed_change_is_lost_or_reverted(self) -> None:
         committed = 0
@@ -263,134 +267,134 @@
         self.assertGreater(committed, 50 * len(FAULTY_SEEDS))
 
     def test_no_committed_change_is_lost_with_wiped_disks(self) -> None:
-        wipes = 0
+        losses = 0
         for seed in FAULTY_SEEDS:
             with self.subTest(seed=seed):
-                wipes += self.run_faulty(seed, wipe_and_start).wipes
-        self.assertGreater(wipes, len(FAULTY_SEEDS))
+                losses += self.run_faulty(seed, wipe_and_start).disk_losses
+        self.assertGreater(losses, len(FAULTY_SEEDS))
 
     def test_no_committed_change_is_lost_with_disks_that_went_back(self) -> None:
-        returns = 0
+        rollbacks = 0
         for seed in FAULTY_SEEDS:
             with self.subTest(seed=seed):
-                returns += self.run_faulty(seed, roll_back_once_seen).wipes
-        self.assertGreater(returns, len(FAULTY_SEEDS) // 2)
+                rollbacks += self.run_faulty(seed, roll_back_if_seen).disk_losses
+        self.assertGreater(rollbacks, len(FAULTY_SEEDS) // 2)
 
 
 class RecoveryTest(unittest.TestCase):
-    def commit_some(self, world: World, count: int) -> None:
+    def commit_changes(self, cluster: Cluster, count: int) -> None:
         for _ in range(count):
-            world.propose()
-            world.step(faulty=False)
+            cluster.propose()
+            cluster.step(faulty=False)
         for _ in range(60):
-            world.step(faulty=False)
+            cluster.step(faulty=False)
 
     def test_a_second_member_lost_right_after_a_repair(self) -> None:
         for seed in range(20):
             with self.subTest(seed=seed):
-                world = make_world(seed)
-                leader = world.settle(100)
-                self.commit_some(world, 10)
+                cluster = make_cluster(seed)
+                leader = cluster.recover(100)
+                self.commit_changes(cluster, 10)
                 victim = next(n for n in NAMES if n != leader.name)
-                world.wipe(victim)
-                world.start(victim)
-                while not world.all_vote():
-                    world.step(faulty=False)
+                cluster.wipe(victim)
+                cluster.start(victim)
+                while not cluster.are_all_voters():
+                    cluster.step(faulty=False)
                 for _ in range(10):
-                    world.step(faulty=False)
-                before = max(world.committed)
-                world.crash(leader.name)
+                    cluster.step(faulty=False)
+                before = max(cluster.committed)
+                cluster.crash(leader.name)
                 for _ in range(300):
-                    world.step(faulty=False)
-                successor = world.get_leader()
+                    cluster.step(faulty=False)
+                successor = cluster.get_leader()
                 self.assertIsNotNone(successor)
                 self.assertGreaterEqual(successor.commit, before)
 
-    def test_a_wiped_member_cannot_vote_before_it_is_readmitted(self) -> None:
-        world = make_world(3)
-        leader = world.settle(100)
-        self.commit_some(world, 5)
+    def test_wiped_members_cannot_elect_a_leader_before_they_are_readmitted(self) -> None:
+        cluster = make_cluster(3)
+        leader = cluster.recover(100)
+        self.commit_changes(cluster, 5)
         others = [n for n in NAMES if n != leader.name]
-        world.crash(leader.name)
+        cluster.crash(leader.name)
         for name in others:
-            world.wipe(name)
-            world.start(name)
+            cluster.wipe(name)
+            cluster.start(name)
         for _ in range(400):
-            world.step(faulty=False)
-        self.assertIsNone(world.get_leader())
+            cluster.step(faulty=False)
+        self.assertIsNone(cluster.get_leader())
 
-    def test_a_wiped_member_cannot_help_a_lagging_one_to_lead(self) -> None:
-        world = make_world(3)
-        leader = world.settle(100)
+    def test_a_wiped_member_cannot_vote_for_a_lagging_candidate(self) -> None:
+        cluster = make_cluster(3)
+        leader = cluster.recover(100)
         wiped, lagging = (n for n in NAMES if n != leader.name)
-        world.crash(lagging)
-        self.commit_some(world, 5)
-        world.crash(leader.name)
-        world.wipe(wiped)
-        world.start(wiped)
-        world.start(lagging)
+        cluster.crash(lagging)
+        self.commit_changes(cluster, 5)
+        cluster.crash(leader.name)
+        cluster.wipe(wiped)
+        cluster.start(wiped)
+        cluster.start(lagging)
         for _ in range(400):
-            world.step(faulty=False)
-        self.assertIsNone(world.get_leader())
-        world.start(leader.name)
+            cluster.step(faulty=False)
+        self.assertIsNone(cluster.get_leader())
+        cluster.start(leader.name)
         for _ in range(400):
-            world.step(faulty=False)
-        self.assertGreaterEqual(world.get_leader().commit, max(world.committed))
-
-    def test_a_disk_that_went_back_is_readmitted_as_a_new_one(self) -> None:
-        world = make_world(11)
-        leader = world.settle(100)
-        back, lagging = (n for n in NAMES if n != leader.name)
-        self.assertTrue(world.all_seen())
-        world.crash(lagging)
-        self.commit_some(world, 5)
-        world.crash(leader.name)
-        world.roll_back(back)
-        world.start(lagging)
+            cluster.step(faulty=False)
+        self.assertGreaterEqual(cluster.get_leader().commit, max(cluster.committed))
+
+    def test_a_rolled_back_disk_is_readmitted_with_a_new_incarnation(self) -> None:
+        cluster = make_cluster(11)
+        leader = cluster.recover(100)
+        rolled_back, lagging = (n for n in NAMES if n != leader.name)
+        self.assertTrue(cluster.have_all_seen_standings())
+        cluster.crash(lagging)
+        self.commit_changes(cluster, 5)
+        cluster.crash(leader.name)
+        cluster.roll_back(rolled_back)
+        cluster.start(lagging)
         for _ in range(400):
-            world.step(faulty=False)
-        self.assertIsNone(world.get_leader())
-        world.start(leader.name)
+            cluster.step(faulty=False)
+        self.assertIsNone(cluster.get_leader())
+        cluster.start(leader.name)
         for _ in range(600):
-            world.step(faulty=False)
-        self.assertGreaterEqual(world.get_leader().commit, max(world.committed))
-        self.assertTrue(world.all_vote())
+            cluster.step(faulty=False)
+        self.assertGreaterEqual(cluster.get_leader().commit, max(cluster.committed))
+        self.assertTrue(cluster.are_all_voters())
 
     def test_an_isolated_leader_loses_its_lease_and_rejoins_without_an_election(self) -> None:
-        world = make_world(5)
-        old = world.settle(100)
+        cluster = make_cluster(5)
+        old = cluster.recover(100)
         others = [n for n in NAMES if n != old.name]
-        world.cuts |= {(old.name, n) for n in others} | {(n, old.name) for n in others}
+        cluster.cut_links |= {(old.name, n) for n in others} | {(n, old.name) for n in others}
         for _ in range(200):
-            world.step(faulty=False)
-        self.assertFalse(old.has_lease(world.now))
-        self.commit_some(world, 10)
-        successor = world.get_leader()
+            cluster.step(faulty=False)
+        self.assertFalse(old.has_lease(cluster.now))
+        self.commit_changes(cluster, 10)
+        successor = cluster.get_leader()
         term = successor.term
-        world.cuts.clear()
+        cluster.cut_links.clear()
         for _ in range(200):
-            world.step(faulty=False)
-        self.assertEqual(world.get_leader().term, term)
-        self.assertEqual(world.alive[old.name].commit, successor.commit)
+            cluster.step(faulty=False)
+        self.assertEqual(cluster.get_leader().term, term)
+        self.assertEqual(cluster.running[old.name].commit, successor.commit)
 
-    def test_a_member_far_behind_gets_a_snapshot(self) -> None:
-        world = make_world(7)
-        leader = world.settle(100)
+    def test_a_lagging_member_is_sent_a_snapshot(self) -> None:
+        cluster = make_cluster(7)
+        leader = cluster.recover(100)
         victim = next(n for n in NAMES if n != leader.name)
-        world.crash(victim)
-        self.commit_some(world, 60)
-        world.compact()
-        world.start(victim)
+        cluster.crash(victim)
+        self.commit_changes(cluster, 60)
+        cluster.compact()
+        cluster.start(victim)
         for _ in range(100):
-            world.step(faulty=False)
-        self.assertEqual(world.alive[victim].commit, leader.commit)
-        self.assertGreater(world.alive[victim].snapshot.index, 1)
+            cluster.step(faulty=False)
+        self.assertEqual(cluster.running[victim].commit, leader.commit)
+        self.assertGreater(cluster.running[victim].snapshot.index, 1)
 
-    def test_membership_changes_one_at_a_time(self) -> None:
-        world = make_world(9)
-        leader = world.settle(100)
+    def test_a_second_membership_change_is_refused_while_one_is_uncommitted(self) -> None:
+        cluster = make_cluster(9)
+        leader = cluster.recover(100)
         members = tuple(m for m in leader.members if m.name == leader.name)
-        leader.propose_members(members, world.now)
-        self.assertIsInstance(leader.propose_members(members, world.now), Failure)
+        leader.propose_members(members, cluster.now)
+        self.assertIsInstance(leader.propose_members(members, cluster.now), Failure)
         kinds = [entry.kind for entry in leader.log]
         self.assertEqual(kinds.count(EntryKind.MEMBERS), 1)
--- a/tests/test_standings.py
+++ b/tests/test_standings.py
@@ -1,4 +1,4 @@
-"""Tests of the marks by which a disk that went back is found out."""
+"""Tests of the detection of disks that were rolled back."""
 
 import unittest
 from random import Random
@@ -7,8 +7,8 @@
 from daleroad.logtypes import Durable, Run, Standing
 from daleroad.standings import Standings
 
-EARLY = Standing("x", (Run("r", 1),))
-LATER = Standing("x", (Run("r", 5),))
+OLDER = Standing("x", (Run("r", 1),))
+NEWER = Standing("x", (Run("r", 5),))
 
 
 def start(durable: Durable | None = None, last_index: int = 0, seed: int = 1) -> Standings:
@@ -16,7 +16,7 @@
 
 
 class StandingsTest(unittest.TestCase):
-    def test_each_start_shows_a_higher_mark(self) -> None:
+    def test_each_start_reports_a_higher_mark(self) -> None:
         first = start().get_own("own")
         second = start(Durable("own", runs=first.runs), seed=2).get_own("own")
         self.assertTrue(second.includes(first))
@@ -32,23 +32,23 @@
         self.assertTrue(own.get_own("own").includes(before))
         self.assertFalse(before.includes(own.get_own("own")))
 
-    def test_a_disk_that_went_back_is_found_out(self) -> None:
+    def test_a_rolled_back_disk_is_detected(self) -> None:
         own = start()
-        self.assertTrue(own.note(LATER))
-        self.assertEqual(own.find_newer(EARLY), LATER)
-        self.assertIsNone(own.find_newer(LATER))
-        self.assertIsNone(own.find_newer(Standing("y", (Run("r", 0),))))
+        self.assertTrue(own.record(NEWER))
+        self.assertEqual(own.find_rollback(OLDER), NEWER)
+        self.assertIsNone(own.find_rollback(NEWER))
+        self.assertIsNone(own.find_rollback(Standing("y", (Run("r", 0),))))
 
-    def test_the_same_standing_again_is_no_news(self) -> None:
+    def test_recording_an_unchanged_standing_reports_no_change(self) -> None:
         own = start()
-        self.assertTrue(own.note(EARLY))
-        self.assertFalse(own.note(EARLY))
-        self.assertTrue(own.note(LATER))
+        self.assertTrue(own.record(OLDER))
+        self.assertFalse(own.record(OLDER))
+        self.assertTrue(own.record(NEWER))
 
-    def test_what_the_leader_saw_is_taken_over_but_never_an_older_mark(self) -> None:
+    def test_merging_the_leaders_standings_ignores_older_marks_and_the_own_disk(self) -> None:
         own = start()
-        others = [LATER, Standing("y", (Run("q", 2),)), Standing("own", (Run("z", 9),))]
-        self.assertTrue(own.learn(others, "own"))
+        others = [NEWER, Standing("y", (Run("q", 2),)), Standing("own", (Run("z", 9),))]
+        self.assertTrue(own.merge(others, "own"))
         self.assertEqual(set(own.get_seen()), {"x", "y"})
-        self.assertFalse(own.learn([EARLY], "own"))
-        self.assertEqual(own.get_seen()["x"], LATER)
+        self.assertFalse(own.merge([OLDER], "own"))
+        self.assertEqual(own.get_seen()["x"], NEWER)
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -1,4 +1,4 @@
-"""Tests of who votes, and of a log whose members change without an operator."""
+"""Tests of automatic voter selection, and of membership changes in a running group."""
 
 import unittest
 from random import Random
@@ -16,13 +16,13 @@
     def test_without_a_standby_nothing_changes(self) -> None:
         self.assertIsNone(plan_voters((A, B, C), {"a", "b"}, [A, B]))
 
-    def test_a_standby_takes_the_vote_of_a_silent_member(self) -> None:
+    def test_a_standby_replaces_a_silent_voter(self) -> None:
         self.assertEqual(plan_voters((A, B, C), {"a", "b"}, [A, B, D]), (A, B, D))
 
-    def test_one_vote_changes_at_a_time(self) -> None:
+    def test_only_one_voter_is_replaced_at_a_time(self) -> None:
         self.assertEqual(plan_voters((A, B, C), {"a"}, [D, E]), (A, D, C))
 
-    def test_votes_stay_odd_and_grow_to_the_limit(self) -> None:
+    def test_the_number_of_voters_grows_to_the_limit_and_stays_odd(self) -> None:
         heard = {"a", "b", "c"}
         self.assertIsNone(plan_voters((A, B, C), heard, [D]))
         self.assertEqual(plan_voters((A, B, C), heard, [D, E]), (A, B, C, D, E))
@@ -30,12 +30,12 @@
         five = {"a", "b", "c", "d", "e"}
         self.assertIsNone(plan_voters((A, B, C, D, E), five, [F]))
 
-    def test_a_new_disk_at_a_members_address_is_no_standby(self) -> None:
+    def test_a_new_incarnation_of_a_voter_is_not_a_standby(self) -> None:
         self.assertIsNone(plan_voters((A, B, C), {"a", "b"}, [Member("c", "another disk")]))
 
 
-class Group:
-    """Replicas that hear each other at once, in steps of virtual time."""
+class SimulatedGroup:
+    """Replicas in virtual time whose messages are delivered at once."""
 
     def __init__(self, *members: Member) -> None:
         self.now = 0.0
@@ -50,13 +50,13 @@
         random = Random(member.name)
         self.replicas[member.name] = Replica(member.name, (), durable, self.now, random)
         self.committed[member.name] = []
-        self.carry_out(member.name, self.replicas[member.name].take())
+        self.execute(member.name, self.replicas[member.name].take())
 
-    def carry_out(self, name: str, effects: list) -> None:
+    def execute(self, name: str, effects: list) -> None:
         for effect in effects:
             match effect:
                 case Send(to, message) if to in self.replicas:
-                    self.carry_out(to, self.replicas[to].receive(message, self.now))
+                    self.execute(to, self.replicas[to].receive(message, self.now))
                 case Commit(entries):
                     self.committed[name] += [entry.payload for entry in entries]
 
@@ -64,7 +64,7 @@
         for _ in range(int(seconds / STEP_SECONDS)):
             self.now += STEP_SECONDS
             for name in list(self.replicas):
-                self.carry_out(name, self.replicas[name].tick(self.now))
+                self.execute(name, self.replicas[name].tick(self.now))
 
     def get_leader(self) -> Replica:
         leaders = [r for r in self.replicas.values() if r.role is Role.LEADER]
@@ -73,13 +73,13 @@
     def propose(self, payload: str) -> None:
         leader = self.get_leader()
         assert not isinstance(leader.propose([payload], self.now), Failure)
-        self.carry_out(leader.name, leader.take())
+        self.execute(leader.name, leader.take())
         self.run(1.0)
 
 
 class ReplacementTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.group = Group(A, B, C)
+        self.group = SimulatedGroup(A, B, C)
         self.group.run(3.0)
         self.group.propose("first")
 
@@ -91,10 +91,10 @@
         self.assertIn(new, leader.list_caught_up())
         outcome = leader.propose_members(members, self.group.now)
         self.assertNotIsInstance(outcome, Failure)
-        self.group.carry_out(leader.name, leader.take())
+        self.group.execute(leader.name, leader.take())
         self.group.run(1.0)
 
-    def test_a_learner_gets_the_log_and_has_no_vote(self) -> None:
+    def test_a_learner_receives_the_log_without_a_vote(self) -> None:
         self.group.start(D)
         leader = self.group.get_leader()
         leader.set_learners(["d"])
@@ -103,14 +103,14 @@
         for name in [n for n in "abc" if n != leader.name]:
             del self.group.replicas[name]
         self.group.run(3.0)
-        # Leader and learner alone are no majority.
+        # The leader and a learner are not a majority.
         self.assertFalse(leader.has_lease(self.group.now))
 
-    def test_a_replaced_member_can_be_followed_by_another_loss(self) -> None:
+    def test_the_group_survives_another_loss_after_a_replacement(self) -> None:
         leader = self.group.get_leader().name
-        gone = next(name for name in "abc" if name != leader)
-        del self.group.replicas[gone]
-        kept = tuple(m for m in (A, B, C) if m.name != gone)
+        removed = next(name for name in "abc" if name != leader)
+        del self.group.replicas[removed]
+        kept = tuple(m for m in (A, B, C) if m.name != removed)
         self.replace(D, (*kept, D))
         del self.group.replicas[leader]
         self.group.run(4.0)
@@ -119,13 +119,13 @@
         for name in self.group.replicas:
             self.assertEqual([p for p in self.group.committed[name] if p], ["first", "second"])
 
-    def test_a_removed_member_that_comes_back_does_not_disturb(self) -> None:
-        gone = next(n for n in "abc" if n != self.group.get_leader().name)
-        away = self.group.replicas.pop(gone)
-        kept = tuple(m for m in (A, B, C) if m.name != gone)
+    def test_a_removed_member_that_returns_does_not_disrupt_the_leader(self) -> None:
+        removed = next(n for n in "abc" if n != self.group.get_leader().name)
+        removed_replica = self.group.replicas.pop(removed)
+        kept = tuple(m for m in (A, B, C) if m.name != removed)
         self.replace(D, (*kept, D))
         term = self.group.get_leader().term
-        self.group.replicas[gone] = away
+        self.group.replicas[removed] = removed_replica
         self.group.run(5.0)
         self.assertEqual(self.group.get_leader().term, term)
-        self.assertIsNot(away.role, Role.LEADER)
+        self.assertIsNot(removed_replica.role, Role.LEADER)
