--- a/src/daleroad/follower.py
+++ b/src/daleroad/follower.py
@@ -1,4 +1,4 @@
-"""An entry follows the control group: its configuration, and the lease to serve by it."""
+"""Keeps an entry's catalog and serving lease up to date by long polling the control group."""
 
 from collections.abc import Callable
 
@@ -15,16 +15,16 @@
 from daleroad.records import EntryMember, State
 from daleroad.settings import Settings
 
-_ANSWER_SECONDS = 0.7
-_LEAVE_SECONDS = 3.0
+_ANSWER_MARGIN_SECONDS = 0.7
+_LEAVE_TIMEOUT_SECONDS = 3.0
 
 
 class Follower:
-    """Keeps a catalog up to date and knows whether its lease holds.
+    """Replicates the control group's catalog to an entry and renews the entry's lease.
 
     :param settings: the entry's settings.
-    :param links: connections.
-    :param catalog: the catalog to keep.
+    :param links: calls to other processes.
+    :param catalog: the catalog to update.
     """
 
     def __init__(self, settings: Settings, links: Calls, catalog: Catalog) -> None:
@@ -37,33 +37,33 @@
         self._had_lease = False
 
     def has_lease(self) -> bool:
-        """Return whether this entry may serve by its configuration now."""
+        """Return whether this entry holds a lease, and so may serve requests."""
         return anyio.current_time() < self._lease_until
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Poll the leader until cancelled."""
         while True:
-            await self._follow_once()
-            self._note_lease()
+            await self._poll()
+            self._log_lease_change()
 
     async def leave(self) -> None:
-        """Tell the leader that this entry is gone."""
+        """Remove this entry from the membership."""
         body = encode(MembershipRequest(DropEntry(self._settings.name)))
-        await self._leader.call("/membership", body, MembershipAnswer, 1.0, _LEAVE_SECONDS)
+        await self._leader.call("/membership", body, MembershipAnswer, 1.0, _LEAVE_TIMEOUT_SECONDS)
 
     def make_member(self) -> EntryMember:
-        """Return this entry as the membership should show it."""
+        """Return this entry's membership record."""
         settings = self._settings
         return EntryMember(settings.name, settings.url, settings.zone, settings.region, self.state)
 
-    async def _follow_once(self) -> None:
+    async def _poll(self) -> None:
         revision = self.catalog.revision
         body = encode(FollowRequest(self.make_member(), revision))
         sent_at = anyio.current_time()
-        gather = len(self.catalog.entries) * GATHER_SECONDS
-        wait = self._settings.follow + gather + _ANSWER_SECONDS
-        # One attempt a turn: the lease counts from the attempt that was answered.
-        answer = await self._leader.call("/follow", body, FollowAnswer, wait, 0.0)
+        gather_seconds = len(self.catalog.entries) * GATHER_SECONDS
+        timeout = self._settings.follow + gather_seconds + _ANSWER_MARGIN_SECONDS
+        # A limit of 0 makes a single attempt, since the lease is computed from its start.
+        answer = await self._leader.call("/follow", body, FollowAnswer, timeout, 0.0)
         if isinstance(answer, Failure):
             await anyio.sleep(0.05)
             return
@@ -71,7 +71,7 @@
         self._lease_until = max(self._lease_until, sent_at + answer.held + answer.lease)
 
     def _apply(self, answer: FollowAnswer) -> None:
-        # An answer that is older than what is applied must not take anything back.
+        # An answer older than the applied revision must not revert the catalog.
         if answer.revision < self.catalog.revision:
             return
         before = self.catalog.revision
@@ -83,7 +83,7 @@
         if self.catalog.revision != before:
             self.on_change()
 
-    def _note_lease(self) -> None:
+    def _log_lease_change(self) -> None:
         has = self.has_lease()
         if has != self._had_lease:
             event = Event.LEASE_GAINED if has else Event.LEASE_LOST
--- a/src/daleroad/group.py
+++ b/src/daleroad/group.py
@@ -1,4 +1,8 @@
-"""Runs one member of a replicated log: storage, messages and the state it drives."""
+"""Runtime of a Raft replica: drives the consensus core and executes its effects.
+
+It persists the log, exchanges messages with the other members, applies committed entries to a state
+machine and takes snapshots.
+"""
 
 import sqlite3
 from collections.abc import Callable
@@ -32,27 +36,27 @@
 )
 from daleroad.storage import Storage
 
-_OUTBOX_MOST = 256
+_MAX_OUTBOX_MESSAGES = 256
 
 register_union(Message)
 
 
-class Machine(Protocol):
-    """A deterministic state driven by a log."""
+class StateMachine(Protocol):
+    """A deterministic state machine that applies the committed entries of a log."""
 
     def apply_payload(self, index: int, payload: str) -> Any:
         """Apply a committed payload and return its outcome."""
 
     def dump(self) -> str:
-        """Return the state as text."""
+        """Return the serialised state."""
 
     def load(self, text: str) -> None:
-        """Replace the state by a dumped one."""
+        """Replace the state by a serialised one."""
 
 
 @dataclass
 class _Proposal:
-    """A change on its way through the log."""
+    """A proposed change whose outcome a caller awaits."""
 
     payload: str
     done: anyio.Event = field(default_factory=anyio.Event)
@@ -66,17 +70,17 @@
 
 
 class Group:
-    """One member of one replicated log.
+    """One member of a replicated log.
 
-    :param name: the group's name, the same on all members.
+    :param name: the name of the group, the same on all members.
     :param member: this member's name.
-    :param urls: base URLs of all members.
-    :param storage: the durable part.
-    :param machine: the state that the log drives.
-    :param links: connections to the others.
+    :param urls: base URLs by member name.
+    :param storage: the durable state.
+    :param machine: the state machine that applies committed entries.
+    :param links: calls to the other members.
     :param random: source of election timeouts.
-    :param locate: returns the base URL of a member that ``urls`` has not; without it members are
-        fixed.
+    :param locate: returns the base URL of a member that is not in ``urls``. Without it, the members
+        are fixed.
     """
 
     def __init__(
@@ -85,7 +89,7 @@
         member: str,
         urls: dict[str, str],
         storage: Storage,
-        machine: Machine,
+        machine: StateMachine,
         links: Calls,
         random: Random,
         locate: Callable[[str], str] | None = None,
@@ -102,8 +106,8 @@
         self._storage = storage
         self._links = links
         self._random = random
-        self._waiting: dict[int, _Proposal] = {}
-        self._proposals: list[_Proposal] = []
+        self._pending: dict[int, _Proposal] = {}
+        self._queued: list[_Proposal] = []
         self._inbox: list[_Received] = []
         self._stopped = False
         self._wake = anyio.Event()
@@ -111,16 +115,16 @@
         self._outbox_wakes: dict[str, anyio.Event] = {}
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Load the state and start to take part.
+        """Load the durable state and start this member's tasks.
 
-        :param tasks: runs this member's tasks.
+        :param tasks: the group that the tasks run in.
         """
         self._tasks = tasks
         await self._start()
         tasks.start_soon(self._loop)
 
     async def _start(self) -> None:
-        """Take part with what the disk holds."""
+        """Create the replica and restore the state machine from the durable state."""
         durable = self._storage.load()
         peers = tuple(peer for peer in self._urls if peer != self.member)
         self.replica = Replica(self.member, peers, durable, anyio.current_time(), self._random)
@@ -128,14 +132,17 @@
             self.machine.load(durable.snapshot.state)
         self.applied = durable.snapshot.index
         self._logged_bytes = sum(len(entry.payload) for entry in durable.log)
-        await self._carry_out(self.replica.take())
+        await self._execute(self.replica.take())
 
     def is_leading(self) -> bool:
-        """Return whether this member leads and has heard a majority lately."""
+        """Return whether this member leads and holds the leader lease."""
         return self.replica.has_lease(anyio.current_time())
 
     def has_served_term(self) -> bool:
-        """Return whether this leader has applied an entry of its own term."""
+        """Return whether this member leads and may serve reads.
+
+        It must have committed an entry of its own term and applied all committed entries.
+        """
         return (
             self.is_leading()
             and self.replica.get_term_at(self.replica.commit) == self.replica.term
@@ -144,24 +151,24 @@
 
     def get_leader_url(self) -> str | None:
         """Return the base URL of the leader, if one is known."""
-        return self._find_url(self.replica.leader) if self.replica.leader else None
+        return self._resolve_url(self.replica.leader) if self.replica.leader else None
 
-    def _find_url(self, name: str) -> str | None:
+    def _resolve_url(self, name: str) -> str | None:
         if name not in self._urls and self._locate is not None:
             self._urls[name] = self._locate(name)
         return self._urls.get(name)
 
     def refuse(self) -> Failure:
-        """Return the failure that sends a caller to the leader."""
+        """Return the failure that redirects a caller to the leader, if one is known."""
         url = self.get_leader_url()
         if url is None or self.replica.leader == self.member:
             return Failure(FailureKind.NO_MAJORITY, "no leader is known", Ran.NO, 1.0)
         return Failure(FailureKind.NOT_LEADER, url)
 
     def receive(self, messages: list[Message]) -> None:
-        """Take messages from another member.
+        """Queue messages from another member.
 
-        :param messages: in the order they were sent.
+        :param messages: the messages in the order in which they were sent.
         """
         self._inbox.extend(_Received(message) for message in messages)
         self._wake.set()
@@ -169,25 +176,25 @@
     async def propose(self, payload: str) -> Any:
         """Append a change and return its outcome once it is committed and applied.
 
-        A failure of kind ``leadership-lost`` means that the change may still be committed.
+        After a failure of kind ``leadership-lost`` the change may still be committed.
 
-        :param payload: the change as text.
+        :param payload: the serialised change.
         """
         if not self.is_leading() or self._stopped:
             return self.refuse()
         proposal = _Proposal(payload)
-        self._proposals.append(proposal)
+        self._queued.append(proposal)
         self._wake.set()
         await proposal.done.wait()
         return proposal.outcome
 
     def stop(self) -> None:
-        """Take no more proposals, and end those under way without their outcome."""
+        """Reject new proposals and fail all outstanding ones."""
         self._stopped = True
-        for proposal in (*self._waiting.values(), *self._proposals):
-            self._finish(proposal, _lost())
-        self._waiting = {}
-        self._proposals = []
+        for proposal in (*self._pending.values(), *self._queued):
+            self._resolve(proposal, _make_leadership_lost())
+        self._pending = {}
+        self._queued = []
 
     async def _loop(self) -> None:
         while True:
@@ -200,15 +207,15 @@
                 await self._restart(str(error))
 
     async def _restart(self, reason: str) -> None:
-        """Start anew from the disk after it refused a write.
+        """Restart the replica from disk after a failed write.
 
-        What was not saved must not be told to anyone, so all that was under way is dropped.
+        Nothing unsaved may be sent or applied, so outstanding proposals and messages are dropped.
         """
         log_event(Event.STORAGE_FAILED, group=self.name, reason=reason)
-        for proposal in (*self._waiting.values(), *self._proposals):
-            self._finish(proposal, _lost())
-        self._waiting = {}
-        self._proposals = []
+        for proposal in (*self._pending.values(), *self._queued):
+            self._resolve(proposal, _make_leadership_lost())
+        self._pending = {}
+        self._queued = []
         self._inbox = []
         while True:
             await anyio.sleep(STORAGE_RETRY_SECONDS)
@@ -221,7 +228,7 @@
             return
 
     async def _step(self) -> None:
-        was = self.replica.role
+        previous_role = self.replica.role
         now = anyio.current_time()
         effects: list[Effect] = []
         inbox, self._inbox = self._inbox, []
@@ -229,25 +236,25 @@
             effects.extend(self.replica.receive(received.message, now))
         self._append_proposals(now)
         effects.extend(self.replica.tick(now))
-        await self._carry_out(effects)
-        self._note_role(was)
-        self._fail_lost()
+        await self._execute(effects)
+        self._log_role_change(previous_role)
+        self._fail_pending()
         await self._compact()
 
     def _append_proposals(self, now: float) -> None:
-        proposals, self._proposals = self._proposals, []
+        proposals, self._queued = self._queued, []
         if not proposals:
             return
         indexes = self.replica.propose([p.payload for p in proposals], now)
         if isinstance(indexes, Failure):
             for proposal in proposals:
-                self._finish(proposal, self.refuse())
+                self._resolve(proposal, self.refuse())
             return
         for index, proposal in zip(indexes, proposals, strict=True):
             proposal.term = self.replica.term
-            self._waiting[index] = proposal
+            self._pending[index] = proposal
 
-    async def _carry_out(self, effects: list[Effect]) -> None:
+    async def _execute(self, effects: list[Effect]) -> None:
         saves = [e for e in effects if not isinstance(e, Send | Commit)]
         if saves:
             await anyio.to_thread.run_sync(self._storage.save, saves)
@@ -259,7 +266,7 @@
                     log_event(Event.SNAPSHOT_INSTALLED, group=self.name, index=snapshot.index)
                     self.on_applied()
                 case Send(to, message):
-                    self._post(to, message)
+                    self._enqueue_message(to, message)
                 case Commit(entries):
                     for entry in entries:
                         self._apply(entry)
@@ -276,31 +283,31 @@
             case EntryKind.EMPTY:
                 pass
         self.applied = entry.index
-        proposal = self._waiting.pop(entry.index, None)
+        proposal = self._pending.pop(entry.index, None)
         if proposal is None:
             return
         if proposal.term == entry.term:
-            self._finish(proposal, outcome)
+            self._resolve(proposal, outcome)
         else:
-            self._finish(proposal, _lost())
+            self._resolve(proposal, _make_leadership_lost())
 
-    def _fail_lost(self) -> None:
-        """End proposals that this member can't see to the end as leader any more."""
+    def _fail_pending(self) -> None:
+        """Fail the appended proposals if this member no longer leads."""
         if self.replica.role is Role.LEADER:
             return
-        for proposal in self._waiting.values():
-            self._finish(proposal, _lost())
-        self._waiting = {}
+        for proposal in self._pending.values():
+            self._resolve(proposal, _make_leadership_lost())
+        self._pending = {}
 
-    def _finish(self, proposal: _Proposal, outcome: Any) -> None:
+    def _resolve(self, proposal: _Proposal, outcome: Any) -> None:
         proposal.outcome = outcome
         proposal.done.set()
 
-    def _note_role(self, was: Role) -> None:
+    def _log_role_change(self, previous: Role) -> None:
         role = self.replica.role
-        if role is Role.LEADER and was is not Role.LEADER:
+        if role is Role.LEADER and previous is not Role.LEADER:
             log_event(Event.LEADER_ELECTED, group=self.name, term=self.replica.term)
-        if was is Role.LEADER and role is not Role.LEADER:
+        if previous is Role.LEADER and role is not Role.LEADER:
             log_event(Event.LEADER_STEPPED_DOWN, group=self.name, term=self.replica.term)
 
     async def _compact(self) -> None:
@@ -310,17 +317,17 @@
             return
         self._logged_bytes = 0
         effects = self.replica.compact(self.applied, self.machine.dump())
-        await self._carry_out(effects)
+        await self._execute(effects)
         log_event(Event.SNAPSHOT_TAKEN, group=self.name, index=self.applied)
 
-    def _post(self, to: str, message: Message) -> None:
-        outbox = self._open_outbox(to)
+    def _enqueue_message(self, to: str, message: Message) -> None:
+        outbox = self._get_outbox(to)
         outbox.append(message)
-        # The protocol recovers from lost messages, so a slow link loses the oldest.
-        del outbox[:-_OUTBOX_MOST]
+        # The protocol tolerates lost messages, so the oldest are dropped when the peer is slow.
+        del outbox[:-_MAX_OUTBOX_MESSAGES]
         self._outbox_wakes[to].set()
 
-    def _open_outbox(self, peer: str) -> list[Message]:
+    def _get_outbox(self, peer: str) -> list[Message]:
         if peer not in self._outboxes and self._tasks is not None:
             self._outboxes[peer] = []
             self._outbox_wakes[peer] = anyio.Event()
@@ -328,7 +335,7 @@
         return self._outboxes[peer]
 
     async def _send_loop(self, peer: str) -> None:
-        url = f"{self._find_url(peer)}/peer/{self.name}"
+        url = f"{self._resolve_url(peer)}/peer/{self.name}"
         while True:
             await self._outbox_wakes[peer].wait()
             self._outbox_wakes[peer] = anyio.Event()
@@ -338,7 +345,7 @@
 
 
 def encode_messages(messages: list[Message]) -> bytes:
-    """Return messages as one JSON document.
+    """Encode messages as a JSON document.
 
     :param messages: the messages.
     """
@@ -346,13 +353,13 @@
 
 
 def decode_messages(body: bytes) -> list[Message] | Failure:
-    """Return the messages in a JSON document, or a failure.
+    """Decode messages from a JSON document, or return a failure.
 
     :param body: the document.
     """
     return decode(list[Message], body)
 
 
-def _lost() -> Failure:
+def _make_leadership_lost() -> Failure:
     reason = "this member stopped leading before the change was committed"
     return Failure(FailureKind.LEADERSHIP_LOST, reason, Ran.UNKNOWN, 1.0)
--- a/src/daleroad/keptfile.py
+++ b/src/daleroad/keptfile.py
@@ -1,4 +1,4 @@
-"""A small file that is replaced as a whole, and is whole after a loss of power."""
+"""Small files that are replaced atomically and survive a power loss."""
 
 import os
 from collections.abc import Callable
@@ -12,15 +12,19 @@
 
 
 async def keep_file(
-    path: Path, get_revision: Callable[[], int], dump: Callable[[], bytes], failed: Event, kept: int
+    path: Path,
+    get_revision: Callable[[], int],
+    dump: Callable[[], bytes],
+    failure_event: Event,
+    kept: int,
 ) -> None:
-    """Write something down whenever it changed, until cancelled.
+    """Write data to a file whenever its revision changes, until cancelled.
 
     :param path: the file.
-    :param get_revision: returns a number that grows with each change.
-    :param dump: returns what should be written.
-    :param failed: logged where it could not be written.
-    :param kept: the revision that the file has.
+    :param get_revision: returns the revision, a number that grows with each change.
+    :param dump: returns the content to write.
+    :param failure_event: event to log when a write fails.
+    :param kept: the revision that the file already holds.
     """
     while True:
         revision = get_revision()
@@ -28,38 +32,38 @@
             kept = revision
             failure = await anyio.to_thread.run_sync(replace_file, path, dump())
             if failure is not None:
-                log_event(failed, reason=failure.reason)
+                log_event(failure_event, reason=failure.reason)
         await anyio.sleep(FLEET_KEPT_SECONDS)
 
 
 def replace_file(path: Path, body: bytes) -> Failure | None:
-    """Replace a file, also for after a loss of power; return why that failed, if so.
+    """Replace a file atomically and durably; return a failure if it could not be written.
 
     :param path: the file.
-    :param body: what it should hold.
+    :param body: the new content.
     """
-    fresh = path.with_suffix(".new")
+    temporary = path.with_suffix(".new")
     try:
-        with fresh.open("wb", buffering=0) as file:
+        with temporary.open("wb", buffering=0) as file:
             file.write(body)
             os.fsync(file.fileno())
-        os.replace(fresh, path)
-        _sync_folder(path.parent)
+        os.replace(temporary, path)
+        _sync_directory(path.parent)
     except OSError as error:
         return Failure(FailureKind.UNREACHABLE, f"{path.name}: {error!r}")
     return None
 
 
-def _sync_folder(folder: Path) -> None:
-    number = os.open(folder, os.O_RDONLY)
+def _sync_directory(directory: Path) -> None:
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
-        os.fsync(number)
+        os.fsync(descriptor)
     finally:
-        os.close(number)
+        os.close(descriptor)
 
 
 def read_file(path: Path) -> bytes | Failure:
-    """Return what a file holds, or why it can't be read.
+    """Return the content of a file, or a failure if it can't be read.
 
     :param path: the file.
     """
--- a/src/daleroad/sitelog.py
+++ b/src/daleroad/sitelog.py
@@ -1,7 +1,7 @@
-"""Changes and reads of what coordinators agree on, wherever they arrive.
+"""Reads and changes of the coordinators' replicated state, on any coordinator.
 
-They are carried out by the leader, or handed to it. A caller waits for a second or so, and leaders
-are elected in less; so who finds none looks again for a while.
+The leader executes them; other coordinators forward them to it. An election takes less time than
+callers wait, so calls are retried for a while when there is no leader.
 """
 
 import time
@@ -31,14 +31,14 @@
 
 
 class SiteLog:
-    """One coordinator's way to the log.
-
-    :param name: the coordinator.
-    :param group: its member of the log.
-    :param record: what the log drives.
-    :param links: connections to the others.
-    :param parse: reads a routing configuration from its document.
-    :param zones: the site's availability zones; nothing where they are not known.
+    """Reads and changes the replicated state through one coordinator.
+
+    :param name: name of the coordinator.
+    :param group: the coordinator's member of the replicated log.
+    :param record: the replicated state.
+    :param links: calls to the other coordinators.
+    :param parse: parses a routing configuration document.
+    :param zones: the site's availability zones; empty if they are not known.
     """
 
     def __init__(
@@ -58,9 +58,9 @@
         self._zones = zones
 
     async def save(self, document: bytes) -> SaveAnswer | Failure:
-        """Bring a routing configuration into force on a majority of disks.
+        """Validate a routing configuration and commit it to the replicated log.
 
-        :param document: its text.
+        :param document: the configuration document.
         """
         config = self._parse(document)
         if isinstance(config, Failure):
@@ -69,77 +69,79 @@
         if fault is not None:
             return fault
         version, text = config.version, document.decode()
-        return await _look_for_leader(lambda: self.save_once(version, text), Ran.UNKNOWN)
+        return await _retry_until_answered(lambda: self.save_once(version, text), Ran.UNKNOWN)
 
     async def save_once(self, version: int, text: str) -> SaveAnswer | Failure:
-        """Save a routing configuration if this coordinator leads, else let the leader do it.
+        """Commit a routing configuration, or forward it to the leader; one attempt.
 
-        :param version: its version.
-        :param text: its text.
+        :param version: version of the configuration.
+        :param text: the configuration document.
         """
         if self._group.is_leading():
             outcome = await self._group.propose(encode(Document(version, text)).decode())
             return outcome if isinstance(outcome, Failure) else SaveAnswer(outcome.version)
-        return await self._ask_leader("save", encode(SaveRequest(text)), SaveAnswer)
+        return await self._call_leader("save", encode(SaveRequest(text)), SaveAnswer)
 
     async def read(self) -> ReadAnswer | Failure:
-        """Return the newest routing configuration, or a failure where that is not sure."""
-        return await _look_for_leader(self._read_once, Ran.NO)
+        """Return the leader's routing configuration, or a failure if no leader can confirm it."""
+        return await _retry_until_answered(self._read_once, Ran.NO)
 
     async def _read_once(self) -> ReadAnswer | Failure:
         if self._group.has_served_term():
             document = self._record.document
             return ReadAnswer(document.version, document.text)
-        return await self._ask_leader("read", b"{}", ReadAnswer)
+        return await self._call_leader("read", b"{}", ReadAnswer)
 
     async def order_zone(self, zone: str, evacuated: bool) -> EvacuatedZones | Failure:
-        """Bring an operator's order about a zone into force on a majority of disks.
+        """Commit an operator's order to evacuate a zone or to end its evacuation.
 
-        An order that is sent again, to any coordinator, gets the same answer and changes nothing;
-        so does one that takes back what is not evacuated.
+        The order is idempotent on all coordinators: if the zone already is in the ordered state,
+        nothing changes.
 
         :param zone: the availability zone.
-        :param evacuated: whether its upstreams get nothing from now on.
+        :param evacuated: whether the zone's upstreams are to get no requests.
         """
         if self._zones and zone not in self._zones:
-            return Failure(FailureKind.INVALID, f"no availability zone {zone!r} here")
+            return Failure(FailureKind.INVALID, f"unknown availability zone {zone!r}")
         order = ZoneOrder(zone, evacuated, time.time(), self._name)
-        return await _look_for_leader(lambda: self.order_once(order), Ran.UNKNOWN)
+        return await _retry_until_answered(lambda: self.order_once(order), Ran.UNKNOWN)
 
     async def order_once(self, order: ZoneOrder) -> EvacuatedZones | Failure:
-        """Carry out an order here if this coordinator leads, else let the leader do it.
+        """Commit a zone order, or forward it to the leader; one attempt.
 
         :param order: the order.
         """
         if not self._group.is_leading():
-            return await self._ask_leader("order-zone", encode(order), EvacuatedZones)
+            return await self._call_leader("order-zone", encode(order), EvacuatedZones)
         known = self._record.zones
         if self._group.has_served_term() and (order.zone in known.zones) == order.evacuated:
-            # A majority has it on disk already, and nobody else can lead meanwhile.
+            # The state is committed, and the lease excludes another leader, so nothing is appended.
             return known
         outcome = await self._group.propose(encode(order).decode())
         assert isinstance(outcome, Failure | EvacuatedZones)
         return outcome
 
-    async def _ask_leader(self, call: str, body: bytes, shape: type[T]) -> T | Failure:
+    async def _call_leader(self, call: str, body: bytes, shape: type[T]) -> T | Failure:
         leader = self._group.get_leader_url()
         if leader is None or self._group.replica.leader == self._name:
             return Failure(FailureKind.NO_MAJORITY, "no leader is known")
         url = f"{leader}/site/{call}"
-        found: T | Failure = await self._links.call(url, body, shape, COORDINATOR_CALL_SECONDS)
-        return found
+        answer: T | Failure = await self._links.call(url, body, shape, COORDINATOR_CALL_SECONDS)
+        return answer
 
 
-async def _look_for_leader(ask: Callable[[], Awaitable[T | Failure]], ran: Ran) -> T | Failure:
-    """Return an answer, or a failure where there is no leader in time.
+async def _retry_until_answered(
+    attempt: Callable[[], Awaitable[T | Failure]], ran: Ran
+) -> T | Failure:
+    """Retry a call until it succeeds or is invalid, or fail when LEADER_WAIT_SECONDS have passed.
 
-    :param ask: asks once; a change that is asked for twice is made once.
-    :param ran: whether what found no leader may have happened all the same.
+    :param attempt: makes one attempt; must be idempotent.
+    :param ran: whether the call may have taken effect although it failed.
     """
     with anyio.move_on_after(LEADER_WAIT_SECONDS):
         while True:
-            answer = await ask()
+            answer = await attempt()
             if not isinstance(answer, Failure) or answer.kind is FailureKind.INVALID:
                 return answer
             await anyio.sleep(COORDINATOR_TURN_SECONDS)
-    return Failure(FailureKind.NO_MAJORITY, "no leader in time", ran, JOIN_SECONDS)
+    return Failure(FailureKind.NO_MAJORITY, "no leader answered in time", ran, JOIN_SECONDS)
--- a/src/daleroad/siterecord.py
+++ b/src/daleroad/siterecord.py
@@ -1,6 +1,6 @@
-"""What coordinators agree on, as a state driven by a replicated log.
+"""State machine of the coordinators' replicated log.
 
-It is the newest routing configuration and the availability zones that are evacuated.
+The state is the newest routing configuration and the evacuated availability zones.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Document:
-    """A routing configuration as text; version 0 stands for none yet."""
+    """A routing configuration document; version 0 means that there is none yet."""
 
     version: int
     text: str
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True)
 class _SiteState:
-    """All that the log drives. A state without evacuations is one of an earlier program.
+    """The serialised state. Earlier versions of the program wrote it without evacuations.
 
-    :param version: of the routing configuration.
-    :param text: of the routing configuration.
+    :param version: version of the routing configuration.
+    :param text: the routing configuration document.
     """
 
     version: int
@@ -34,10 +34,10 @@
 
 
 class SiteRecord:
-    """Keeps the document with the highest version, and the evacuated zones.
+    """The routing configuration with the highest version, and the evacuated zones.
 
-    :ivar on_change: called when the routing configuration changed.
-    :ivar on_zones: called when the evacuated zones changed.
+    :ivar on_change: called when the routing configuration has changed.
+    :ivar on_zones: called when the evacuated zones have changed.
     """
 
     def __init__(self) -> None:
@@ -48,14 +48,14 @@
 
     @property
     def zones(self) -> EvacuatedZones:
-        """The zones whose upstreams get nothing."""
+        """The evacuated zones, whose upstreams get no requests."""
         return self.evacuations.current
 
     def apply_payload(self, index: int, payload: str) -> Document | EvacuatedZones:
-        """Apply a committed document or order; return what is in force after it.
+        """Apply a committed document or zone order; return the resulting document or zones.
 
-        :param index: its index in the log.
-        :param payload: the document or order.
+        :param index: index of the log entry.
+        :param payload: the serialised document or order.
         """
         order = decode(ZoneOrder, payload)
         if isinstance(order, ZoneOrder):
@@ -79,34 +79,34 @@
         return self.zones
 
     def _apply_document(self, index: int, payload: str) -> Document:
-        fresh = decode(Document, payload)
+        document = decode(Document, payload)
         before = self.document.version
-        if isinstance(fresh, Failure):
-            log_event(Event.DOCUMENT_UNREADABLE, index=index, reason=fresh.reason)
+        if isinstance(document, Failure):
+            log_event(Event.DOCUMENT_UNREADABLE, index=index, reason=document.reason)
             return self.document
-        if fresh.version > before:
-            self.document = fresh
+        if document.version > before:
+            self.document = document
             self.on_change()
-        log_event(Event.CONFIG_COMMITTED, index=index, version=fresh.version, before=before)
+        log_event(Event.CONFIG_COMMITTED, index=index, version=document.version, before=before)
         return self.document
 
     def dump(self) -> str:
-        """Return the state as text."""
+        """Return the serialised state."""
         document = self.document
         return encode(_SiteState(document.version, document.text, self.evacuations)).decode()
 
     def load(self, text: str) -> None:
-        """Replace the state by a dumped one.
+        """Load a serialised state; parts that are not newer than the current ones are ignored.
 
-        :param text: what :meth:`dump` gave.
+        :param text: the output of :meth:`dump`.
         """
-        found = decode(_SiteState, text)
-        if isinstance(found, Failure):
-            log_event(Event.DOCUMENT_UNREADABLE, index=0, reason=found.reason)
+        state = decode(_SiteState, text)
+        if isinstance(state, Failure):
+            log_event(Event.DOCUMENT_UNREADABLE, index=0, reason=state.reason)
             return
-        if found.evacuations.current.version > self.zones.version:
-            self.evacuations = found.evacuations
+        if state.evacuations.current.version > self.zones.version:
+            self.evacuations = state.evacuations
             self.on_zones()
-        if found.version > self.document.version:
-            self.document = Document(found.version, found.text)
+        if state.version > self.document.version:
+            self.document = Document(state.version, state.text)
             self.on_change()
