--- a/src/daleroad/coordinator.py
+++ b/src/daleroad/coordinator.py
@@ -1,7 +1,7 @@
-"""A coordinator: keeps the routing configuration and tells gateways what changes.
+"""The coordinator process: a replica of the routing configuration that serves gateways.
 
-The configuration is in a replicated log on the coordinators' disks; who is alive is told from one
-to the other and lost with a restart, until the next heartbeats.
+The routing configuration and the evacuated zones are in a replicated log on the coordinators'
+disks. Liveness of upstreams and gateways is soft state that coordinators exchange.
 """
 
 from dataclasses import dataclass
@@ -61,21 +61,21 @@
 from daleroad.suspectfile import SuspectKeeper
 from daleroad.voters import SILENT_SECONDS, plan_voters
 
-GROUP = "site"
-_ROUTER_BYTES = 64_000_000
+GROUP_NAME = "site"
+_MAX_BODY_BYTES = 64_000_000
 
 
 @dataclass(frozen=True)
 class CoordinatorOptions:
-    """What a coordinator is told at its start.
+    """Start options of a coordinator.
 
-    :param name: IP:PORT of this coordinator for the others.
-    :param seeds: addresses of coordinators to begin with.
-    :param data: folder on a disk, or nothing on a VM without one.
+    :param name: IP:PORT at which the other coordinators reach this one.
+    :param seeds: addresses of coordinators to contact first.
+    :param data: directory on a persistent disk, or empty on a VM without one.
     :param founding: whether the whole site starts for the first time.
     :param heartbeat: interval of upstreams' heartbeats in seconds.
-    :param zones: the site's availability zones; nothing where they are not known.
-    :param cold: what upstreams bear while they are cold.
+    :param zones: the site's availability zones; empty if they are not known.
+    :param cold: limits on requests to cold upstreams.
     """
 
     name: str
@@ -88,12 +88,12 @@
 
 
 class Coordinator:
-    """One coordinator.
+    """One coordinator of a site.
 
-    :param options: what it is told.
-    :param links: connections to others.
-    :param parse: reads a routing configuration from its document.
-    :param random: source of election timeouts.
+    :param options: its start options.
+    :param links: client for calls to other processes.
+    :param parse: parses a routing configuration from its document.
+    :param random: source of randomness for election timeouts and the choice of engines.
     """
 
     def __init__(
@@ -102,8 +102,8 @@
         self.options = options
         self.links = links
         self.record = SiteRecord()
-        self.record.on_change = self._note_document
-        self.record.on_zones = self._note_zones
+        self.record.on_change = self._handle_document_change
+        self.record.on_zones = self._handle_zone_change
         self._evacuated: tuple[str, ...] = ()
         self._history = DocumentHistory()
         self._services: dict[str, ServiceRule] = {}
@@ -115,77 +115,77 @@
         )
         self.epoch = uuid4().hex[:12]
         self._parse = parse
-        folder = Path(options.data) if options.data else None
-        path = folder / f"{GROUP}.db" if folder else None
-        self._keeper = (
-            FleetKeeper(folder, self.presence.fleet, options.heartbeat) if folder else None
+        data_dir = Path(options.data) if options.data else None
+        path = data_dir / f"{GROUP_NAME}.db" if data_dir else None
+        self._fleet_keeper = (
+            FleetKeeper(data_dir, self.presence.fleet, options.heartbeat) if data_dir else None
         )
-        self._suspect_keeper = SuspectKeeper(folder, self.presence.suspects) if folder else None
+        self._suspect_keeper = SuspectKeeper(data_dir, self.presence.suspects) if data_dir else None
         self._storage = Storage(path)
         self.group = Group(
-            GROUP, options.name, {}, self._storage, self.record, links, random, make_url
+            GROUP_NAME, options.name, {}, self._storage, self.record, links, random, make_url
         )
         self.log = SiteLog(options.name, self.group, self.record, links, parse, options.zones)
         self._ready = False
         self._standbys: dict[str, tuple[bool, float]] = {}
-        self._news = anyio.Event()
+        self._changed = anyio.Event()
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Found or join the group, then take part until cancelled.
+        """Found or join the group, load the stored state and start the background tasks.
 
-        :param tasks: runs this coordinator's tasks.
+        :param tasks: task group for the background tasks.
         """
         if self._storage.is_new() and self.options.founding:
-            await self._found()
+            await self._found_group()
         await self.group.run(tasks)
-        if self._keeper is not None:
-            self._keeper.recover()
+        if self._fleet_keeper is not None:
+            self._fleet_keeper.recover()
         if self._suspect_keeper is not None:
             self._suspect_keeper.recover()
         self._ready = True
         tasks.start_soon(self._join_loop)
         tasks.start_soon(self.presence.share_loop)
-        tasks.start_soon(self._lead_loop)
-        if self._keeper is not None:
-            tasks.start_soon(self._keeper.run)
+        tasks.start_soon(self._maintenance_loop)
+        if self._fleet_keeper is not None:
+            tasks.start_soon(self._fleet_keeper.run)
         if self._suspect_keeper is not None:
             tasks.start_soon(self._suspect_keeper.run)
 
     def close(self) -> None:
-        """Close the files; nothing may run any more."""
+        """Close the log's storage; no task of this coordinator may be running."""
         self._storage.close()
 
     def is_leading(self) -> float:
-        """Return 1 while this coordinator leads."""
+        """Return 1 while this coordinator is the leader, else 0."""
         return float(self._ready and self.group.is_leading())
 
     def get_version(self) -> int:
-        """Return the newest version that is committed here."""
+        """Return the newest routing configuration version that this replica has committed."""
         return self.record.document.version
 
     def count_evacuated(self) -> int:
-        """Return how many availability zones are evacuated, as it is committed here."""
+        """Return how many availability zones are evacuated, as committed at this replica."""
         return len(self.record.zones.zones)
 
     def replace_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other addresses to begin with.
+        """Replace the addresses of coordinators to contact first.
 
         :param seeds: the addresses.
         """
         self.peers.seeds = set(seeds)
 
-    # Founding and joining.
+    # Group formation.
 
-    async def _found(self) -> None:
-        """Write the founding state if this is a seed with a disk.
+    async def _found_group(self) -> None:
+        """Write the initial membership, if this coordinator is one of the first voters.
 
-        All seeds are asked first, so each founder writes the same membership.
+        Waits for an answer from every seed, so that all founders write the same membership.
         """
         if self.options.name not in self.peers.seeds:
             return
         answers = [await self._identify(seed) for seed in sorted(self.peers.seeds)]
         voters = [answer.name for answer in answers if answer.disk]
-        # Where no seed has a disk, the group lives as long as its processes do.
+        # If no seed has a disk, all seeds vote, and the log lasts only while they run.
         names = voters or sorted(self.peers.seeds)
         if self.options.name not in names:
             return
@@ -204,7 +204,7 @@
             await anyio.sleep(FOUNDING_PAUSE_SECONDS)
 
     async def _join_loop(self) -> None:
-        """Ask to be sent the log while this process is not in the membership."""
+        """Ask the other coordinators for the log, while this process is not a voter."""
         request = encode(JoinRequest(self.options.name, bool(self.options.data)))
         while True:
             if not self._is_voter():
@@ -228,12 +228,12 @@
         return self.peers.list_others(self._list_voters())
 
     def list_coordinators(self) -> tuple[str, ...]:
-        """Return the coordinators heard of late, this one included."""
+        """Return the voters and the coordinators heard recently, this one included."""
         return self.peers.list_named(self._list_voters(), anyio.current_time())
 
-    # Leading.
+    # Periodic maintenance and leadership.
 
-    async def _lead_loop(self) -> None:
+    async def _maintenance_loop(self) -> None:
         while True:
             await anyio.sleep(COORDINATOR_TURN_SECONDS)
             now = anyio.current_time()
@@ -242,19 +242,22 @@
             self._limits.prune(now)
             if self.group.is_leading():
                 self._limits.begin(self.group.replica.term, now)
-                self._plan(now)
+                self._update_membership(now)
 
-    def _plan(self, now: float) -> None:
-        """Send the log to standbys, and give votes to those with a disk."""
+    def _update_membership(self, now: float) -> None:
+        """Replicate the log to standbys, and propose a better membership if there is one.
+
+        Only standbys with a disk that have caught up can become voters.
+        """
         replica = self.group.replica
-        fresh = {
+        active = {
             name: disk
             for name, (disk, at) in self._standbys.items()
             if now - at < STANDBY_SILENT_SECONDS
         }
-        if set(replica.peers) != set(fresh):
-            replica.set_learners(fresh)
-        caught_up = [m for m in replica.list_caught_up() if fresh.get(m.name)]
+        if set(replica.peers) != set(active):
+            replica.set_learners(active)
+        caught_up = [m for m in replica.list_caught_up() if active.get(m.name)]
         heard = replica.list_heard(now - SILENT_SECONDS) | {self.options.name}
         planned = plan_voters(replica.members, heard, caught_up)
         if planned is None or not replica.get_settled_members():
@@ -265,11 +268,11 @@
             silent = sorted({member.name for member in replica.members} - heard)
             log_event(Event.MEMBERS_PLANNED, members=names, silent=silent, index=outcome)
 
-    # Calls of the other processes of this system.
+    # Calls from other processes of the site.
 
     def make_router(self) -> Router:
-        """Return the router for calls of gateways and other coordinators."""
-        router = Router(_ROUTER_BYTES, channels=ChannelServer(_ROUTER_BYTES))
+        """Return the router for calls from gateways, other coordinators and the command line."""
+        router = Router(_MAX_BODY_BYTES, channels=ChannelServer(_MAX_BODY_BYTES))
         router.add("POST", "/peer/", self._serve_peer)
         router.add("POST", "/site/identify", self._serve_identify)
         router.add("POST", "/site/join", self._serve_join)
@@ -287,15 +290,15 @@
         router.add("POST", "/site/trial", self._serve_trial)
         return router
 
-    def _take(self, request: Request, shape: Any) -> Any:
-        """Return the message in a request of one of our processes, or a failure."""
-        refused = check_peer(request.headers, self.links.token)
-        return refused if refused is not None else decode(shape, request.body)
+    def _decode_request(self, request: Request, message_type: Any) -> Any:
+        """Return the decoded body of an authenticated request, or a failure."""
+        refusal = check_peer(request.headers, self.links.token)
+        return refusal if refusal is not None else decode(message_type, request.body)
 
     async def _serve_peer(self, request: Request) -> Answer:
-        refused = check_peer(request.headers, self.links.token)
-        if refused is not None:
-            return refused
+        refusal = check_peer(request.headers, self.links.token)
+        if refusal is not None:
+            return refusal
         messages = decode_messages(request.body)
         if isinstance(messages, Failure):
             return messages
@@ -304,181 +307,183 @@
         return Response(204)
 
     async def _serve_identify(self, request: Request) -> Answer:
-        refused = check_peer(request.headers, self.links.token)
-        if refused is not None:
-            return refused
+        refusal = check_peer(request.headers, self.links.token)
+        if refusal is not None:
+            return refusal
         answer = IdentifyAnswer(self.options.name, bool(self.options.data))
         return Response(200, encode(answer))
 
     async def _serve_join(self, request: Request) -> Answer:
-        asked = self._take(request, JoinRequest)
-        if isinstance(asked, Failure):
-            return asked
-        self._standbys[asked.name] = (asked.disk, anyio.current_time())
-        self.peers.note_alive(asked.name, anyio.current_time())
+        message = self._decode_request(request, JoinRequest)
+        if isinstance(message, Failure):
+            return message
+        self._standbys[message.name] = (message.disk, anyio.current_time())
+        self.peers.note_alive(message.name, anyio.current_time())
         return Response(200, encode(ShareAnswer(self.list_coordinators() if self._ready else ())))
 
     async def _serve_share(self, request: Request) -> Answer:
-        asked = self._take(request, ShareRequest)
-        if isinstance(asked, Failure):
-            return asked
-        complete = self.presence.take_share(asked)
-        named = self.list_coordinators() if self._ready else ()
-        return Response(200, encode(ShareAnswer(named, self.epoch, complete)))
+        message = self._decode_request(request, ShareRequest)
+        if isinstance(message, Failure):
+            return message
+        all_known = self.presence.take_share(message)
+        coordinators = self.list_coordinators() if self._ready else ()
+        return Response(200, encode(ShareAnswer(coordinators, self.epoch, all_known)))
 
     async def _serve_watch(self, request: Request) -> Answer:
-        asked = self._take(request, WatchRequest)
-        if isinstance(asked, Failure):
-            return asked
+        message = self._decode_request(request, WatchRequest)
+        if isinstance(message, Failure):
+            return message
         if not self._ready:
             return Failure(FailureKind.NO_MAJORITY, "this coordinator is starting")
         arrived_at = anyio.current_time()
-        self.presence.note_watch(asked)
-        await self._wait_news(asked)
-        return Response(200, encode(self._make_answer(asked, arrived_at)))
+        self.presence.handle_watch(message)
+        await self._wait_for_changes(message)
+        return Response(200, encode(self._make_watch_answer(message, arrived_at)))
 
-    async def _wait_news(self, asked: WatchRequest) -> None:
-        with anyio.move_on_after(asked.wait):
+    async def _wait_for_changes(self, message: WatchRequest) -> None:
+        with anyio.move_on_after(message.wait):
             while (
-                asked.epoch == self.epoch
-                and asked.revision == self.presence.fleet.revision
-                and asked.suspects == self.presence.suspects.marked_revision
-                and not self._is_behind(asked)
+                message.epoch == self.epoch
+                and message.revision == self.presence.fleet.revision
+                and message.suspects == self.presence.suspects.marked_revision
+                and not self._lacks_operator_change(message)
             ):
-                await self._news.wait()
-            # Upstreams come and go several at a time; what operators ask for waits for nothing.
-            with anyio.move_on_after(asked.gather if asked.epoch == self.epoch else 0):
-                while not self._is_behind(asked):
-                    await self._news.wait()
-
-    def _is_behind(self, asked: WatchRequest) -> bool:
-        """Return whether a gateway lacks something that operators ordered."""
+                await self._changed.wait()
+            # Batch fleet changes, which often come several at a time, but no operator changes.
+            with anyio.move_on_after(message.gather if message.epoch == self.epoch else 0):
+                while not self._lacks_operator_change(message):
+                    await self._changed.wait()
+
+    def _lacks_operator_change(self, message: WatchRequest) -> bool:
+        """Return whether a gateway lacks the newest configuration or zone evacuations."""
         record = self.record
-        return asked.version < record.document.version or asked.zones < record.zones.version
+        return message.version < record.document.version or message.zones < record.zones.version
 
-    def _make_answer(self, asked: WatchRequest, arrived_at: float) -> WatchAnswer:
+    def _make_watch_answer(self, message: WatchRequest, arrived_at: float) -> WatchAnswer:
         now = anyio.current_time()
         document = self.record.document
-        news = self._history.tell(document, asked.version, asked.whole)
+        update = self._history.tell(document, message.version, message.whole)
         fleet = self.presence.fleet
-        same = asked.epoch == self.epoch
-        known = asked.revision if same else -1
+        same_epoch = message.epoch == self.epoch
+        known_revision = message.revision if same_epoch else -1
         suspects = self.presence.suspects
-        loads = self.presence.sum_loads(asked.gateway.address) if asked.wants_loads else None
+        loads = (
+            self.presence.sum_other_loads(message.gateway.address) if message.wants_loads else None
+        )
         return WatchAnswer(
             self.epoch,
             fleet.revision,
             self.list_coordinators(),
             self.group.replica.leader,
             document.version,
-            news.document,
-            tuple(fleet.list_changed(now, known)),
+            update.document,
+            tuple(fleet.list_changed(now, known_revision)),
             fleet.list_ages(now),
             None if loads is None else tuple(loads),
             self.presence.count_gateways(now),
-            self.presence.count_others(asked.gateway.address),
-            news.patch,
-            suspects.list_changed(now, asked.suspects if same else 0, marked=True),
+            self.presence.count_other_gateways(message.gateway.address),
+            update.patch,
+            suspects.list_changed(now, message.suspects if same_epoch else 0, marked=True),
             suspects.marked_revision,
             now - arrived_at,
-            self.record.zones if asked.zones < self.record.zones.version else None,
+            self.record.zones if message.zones < self.record.zones.version else None,
         )
 
     async def _serve_loads(self, request: Request) -> Answer:
-        asked = self._take(request, LoadsRequest)
-        if isinstance(asked, Failure):
-            return asked
-        self.presence.loads.note(asked.gateway, asked.loads, anyio.current_time())
+        message = self._decode_request(request, LoadsRequest)
+        if isinstance(message, Failure):
+            return message
+        self.presence.loads.note(message.gateway, message.loads, anyio.current_time())
         return Response(204)
 
     async def _serve_place(self, request: Request) -> Answer:
-        asked = self._take(request, PlaceRequest)
-        if isinstance(asked, Failure):
-            return asked
+        message = self._decode_request(request, PlaceRequest)
+        if isinstance(message, Failure):
+            return message
         if not self._ready or not self.group.is_leading():
-            return Failure(FailureKind.NOT_LEADER, "another coordinator names engines")
+            return Failure(FailureKind.NOT_LEADER, "only the leading coordinator places requests")
         now = anyio.current_time()
-        if not self.presence.knows_loads(now):
-            return Failure(FailureKind.NO_LEASE, "not all gateways were heard yet")
-        service = self._services.get(asked.service)
+        if not self.presence.has_enough_load_reports(now):
+            return Failure(FailureKind.NO_LEASE, "too few gateways have reported their load")
+        service = self._services.get(message.service)
         if service is None:
-            return Failure(FailureKind.NOT_FOUND, f"no service {asked.service}")
+            return Failure(FailureKind.NOT_FOUND, f"no service {message.service}")
         self._limits.begin(self.group.replica.term, now)
-        with self.presence.waking():
-            answer = self._placer.place(asked, service, now, self.record.zones.zones)
+        with self.presence.wake_on_fleet_change():
+            answer = self._placer.place(message, service, now, self.record.zones.zones)
         return Response(200, encode(answer))
 
     async def _serve_save(self, request: Request) -> Answer:
-        asked = self._take(request, SaveRequest)
-        if isinstance(asked, Failure):
-            return asked
+        message = self._decode_request(request, SaveRequest)
+        if isinstance(message, Failure):
+            return message
         if not self.group.is_leading():
             return self.group.refuse()
-        config = self._parse(asked.document.encode())
+        config = self._parse(message.document.encode())
         if isinstance(config, Failure):
             return config
-        answer = await self.log.save_once(config.version, asked.document)
+        answer = await self.log.save_once(config.version, message.document)
         return answer if isinstance(answer, Failure) else Response(200, encode(answer))
 
     async def _serve_zone_order(self, request: Request) -> Answer:
-        """Carry out an order that another coordinator took."""
-        asked = self._take(request, ZoneOrder)
-        if isinstance(asked, Failure):
-            return asked
+        """Carry out a zone order that another coordinator forwarded."""
+        message = self._decode_request(request, ZoneOrder)
+        if isinstance(message, Failure):
+            return message
         if not self.group.is_leading():
             return self.group.refuse()
-        answer = await self.log.order_once(asked)
+        answer = await self.log.order_once(message)
         return answer if isinstance(answer, Failure) else Response(200, encode(answer))
 
     async def _serve_evacuate(self, request: Request) -> Answer:
-        """Carry out an order of the command line."""
-        asked = self._take(request, EvacuateRequest)
-        if isinstance(asked, Failure):
-            return asked
-        answer = await self.log.order_zone(asked.zone, asked.evacuated)
+        """Carry out a zone order from the command line."""
+        message = self._decode_request(request, EvacuateRequest)
+        if isinstance(message, Failure):
+            return message
+        answer = await self.log.order_zone(message.zone, message.evacuated)
         return answer if isinstance(answer, Failure) else Response(200, encode(answer))
 
     async def _serve_evacuations(self, request: Request) -> Answer:
-        refused = check_peer(request.headers, self.links.token)
-        if refused is not None:
-            return refused
+        refusal = check_peer(request.headers, self.links.token)
+        if refusal is not None:
+            return refusal
         return Response(200, encode(self.record.evacuations))
 
     async def _serve_read(self, request: Request) -> Answer:
-        refused = check_peer(request.headers, self.links.token)
-        if refused is not None:
-            return refused
+        refusal = check_peer(request.headers, self.links.token)
+        if refusal is not None:
+            return refusal
         if not self.group.has_served_term():
             return self.group.refuse()
         document = self.record.document
         return Response(200, encode(ReadAnswer(document.version, document.text)))
 
     async def _serve_suspects(self, request: Request) -> Answer:
-        refused = check_peer(request.headers, self.links.token)
-        if refused is not None:
-            return refused
+        refusal = check_peer(request.headers, self.links.token)
+        if refusal is not None:
+            return refusal
         return Response(200, encode(self.presence.shared.list_all()))
 
     async def _serve_release(self, request: Request) -> Answer:
-        asked = self._take(request, ReleaseRequest)
-        if isinstance(asked, Failure):
-            return asked
-        failure = self.presence.shared.release(asked.fingerprint)
+        message = self._decode_request(request, ReleaseRequest)
+        if isinstance(message, Failure):
+            return message
+        failure = self.presence.shared.release(message.fingerprint)
         return failure if failure is not None else Response(204)
 
     async def _serve_trial(self, request: Request) -> Answer:
-        asked = self._take(request, TrialRequest)
-        if isinstance(asked, Failure):
-            return asked
+        message = self._decode_request(request, TrialRequest)
+        if isinstance(message, Failure):
+            return message
         if not self._ready or not self.group.is_leading():
-            return Failure(FailureKind.NOT_LEADER, "another coordinator gives leave for trials")
-        granted = self.presence.shared.give_trial(asked.fingerprint)
+            return Failure(FailureKind.NOT_LEADER, "only the leading coordinator grants trials")
+        granted = self.presence.shared.give_trial(message.fingerprint)
         return Response(200, encode(TrialAnswer(granted)))
 
-    def _note_zones(self) -> None:
-        """Take the upstreams of a zone that is used again as cold until they are heard.
+    def _handle_zone_change(self) -> None:
+        """Treat upstreams of a zone that is no longer evacuated as cold, pending their heartbeats.
 
-        They may have become so shortly before, and only their next heartbeats tell.
+        They may have become cold a moment ago, which only their next heartbeats report.
         """
         now = anyio.current_time()
         zones = self.record.zones.zones
@@ -488,7 +493,7 @@
         self._evacuated = zones
         self._wake()
 
-    def _note_document(self) -> None:
+    def _handle_document_change(self) -> None:
         document = self.record.document
         self._history.note(document)
         config = self._parse(document.text.encode())
@@ -499,5 +504,5 @@
         self._wake()
 
     def _wake(self) -> None:
-        self._news.set()
-        self._news = anyio.Event()
+        self._changed.set()
+        self._changed = anyio.Event()
--- a/src/daleroad/presence.py
+++ b/src/daleroad/presence.py
@@ -1,7 +1,8 @@
-"""Who is alive: upstreams by their heartbeats, gateways by their watches.
+"""A coordinator's liveness state: upstreams by their heartbeats, gateways by their watches.
 
-This is no replicated state. What one coordinator hears it tells the others several times a
-second; news that an upstream leaves goes out at once, and counts only when another has it.
+The state isn't in the replicated log. Each coordinator sends what it heard to the others several
+times a second. That an upstream leaves is sent at once, and is acknowledged to the upstream only
+once another coordinator has it, if another one is alive.
 """
 
 from collections.abc import Callable, Iterator
@@ -39,8 +40,8 @@
 from daleroad.peers import Peers
 from daleroad.sharedsuspects import SharedSuspects
 
-SNAPSHOT_SECONDS = 0.05
-"""How long a snapshot of all gateways is used again; each of their questions needs one."""
+MAX_SNAPSHOT_AGE_SECONDS = 0.05
+"""How long a snapshot of all gateways is reused; every watch of a gateway needs one."""
 
 
 @dataclass
@@ -51,13 +52,13 @@
 
 
 @dataclass(frozen=True)
-class _Told:
-    """What another coordinator has acknowledged.
+class _AckedRevisions:
+    """The revisions of this coordinator's state that another one has acknowledged.
 
-    :param epoch: its run.
-    :param fleet: revision of the upstreams here.
-    :param gateways: revision of the gateways here.
-    :param suspects: revision of the suspected requests here.
+    :param epoch: identifies the process run of the other coordinator.
+    :param fleet: revision of the upstreams.
+    :param gateways: revision of the gateways.
+    :param suspects: revision of the suspected requests.
     """
 
     epoch: str = ""
@@ -67,11 +68,11 @@
 
 
 @dataclass(frozen=True)
-class _Waited:
-    """A time for which this process stood still.
+class _Stall:
+    """A period in which this process didn't run.
 
-    :param seconds: how long.
-    :param until: until when what waited meanwhile is still being read.
+    :param seconds: its length.
+    :param until: time until which heartbeats may come from the backlog of that period.
     """
 
     seconds: float
@@ -82,8 +83,9 @@
 class _Snapshot:
     """The gateways at one moment.
 
-    :param alive: how many were heard of late, whether they take clients or not.
-    :param serving: those that were heard of late and take clients.
+    :param at: when the snapshot was taken.
+    :param alive: number of gateways heard recently, whether they accept clients or not.
+    :param serving: gateways heard recently that accept clients.
     """
 
     at: float
@@ -92,13 +94,13 @@
 
 
 class Presence:
-    """What one coordinator knows of upstreams and gateways.
+    """One coordinator's view of upstreams and gateways.
 
     :param name: the coordinator's name.
-    :param links: connections to the others.
-    :param peers: the others.
-    :param list_others: returns the names of those that may be alive.
-    :param wake: called when there is news for those who watch.
+    :param links: client for calls to the other coordinators.
+    :param peers: the other coordinators.
+    :param list_others: returns the names of the other coordinators that may be alive.
+    :param wake: called on changes that watching gateways should receive.
     """
 
     def __init__(
@@ -122,174 +124,176 @@
         self._snapshot: _Snapshot | None = None
         self._revision = 0
         self._shared_at = float("-inf")
-        self._told: dict[str, _Told] = {}
-        self._turned_at = float("inf")
-        self._waited: _Waited | None = None
+        self._acked: dict[str, _AckedRevisions] = {}
+        self._pruned_at = float("inf")
+        self._last_stall: _Stall | None = None
 
-    def take_share(self, asked: ShareRequest) -> bool:
-        """Take in what another coordinator heard; return whether all whom it names are known here.
+    def take_share(self, message: ShareRequest) -> bool:
+        """Merge another coordinator's state; return whether all that it gives an age for is known.
 
-        :param asked: what it tells.
+        :param message: the share.
         """
         now = anyio.current_time()
-        self._peers.note_alive(asked.sender, now)
-        with self.waking():
-            changed = self.fleet.note_all(asked.sightings, now)
+        self._peers.note_alive(message.sender, now)
+        with self.wake_on_fleet_change():
+            changed = self.fleet.note_all(message.sightings, now)
         for instance in changed:
             self._log_change(instance)
-        complete = self.fleet.note_ages(asked.ages, now)
-        for notice in asked.gateways:
-            self._note_gateway(notice, now)
-        for address, age in asked.gateway_ages.items():
+        all_known = self.fleet.note_ages(message.ages, now)
+        for notice in message.gateways:
+            self._record_gateway(notice, now)
+        for address, age in message.gateway_ages.items():
             known = self._gateways.get(address)
             if known is None:
-                complete = False
+                all_known = False
             else:
                 known.heard_at = max(known.heard_at, now - age)
-        self.shared.note(asked.suspicions, now)
-        return complete
+        self.shared.note(message.suspicions, now)
+        return all_known
 
     @contextmanager
-    def waking(self) -> Iterator[None]:
-        """Wake those who watch if what is done within is news of the fleet."""
+    def wake_on_fleet_change(self) -> Iterator[None]:
+        """Wake pending watches if the fleet changed within the context."""
         before = self.fleet.revision
         yield
         if self.fleet.revision != before:
             self._wake()
 
-    def note_watch(self, asked: WatchRequest) -> None:
-        """Note what a gateway says of itself.
+    def handle_watch(self, message: WatchRequest) -> None:
+        """Record a gateway's state and its reports of upstreams.
 
-        :param asked: its question.
+        :param message: the watch request.
         """
         now = anyio.current_time()
-        self._note_gateway(asked.gateway, now)
-        self.loads.note(asked.gateway.address, asked.loads, now)
-        self.shared.note(asked.suspicions, now)
-        with self.waking():
-            for notice in asked.upstreams:
-                self._note_upstream(notice, asked.gateway.address, now)
-
-    def _note_upstream(self, notice: UpstreamNotice, by: str, now: float) -> None:
-        """Take in what a gateway heard an upstream say of itself."""
+        self._record_gateway(message.gateway, now)
+        self.loads.note(message.gateway.address, message.loads, now)
+        self.shared.note(message.suspicions, now)
+        with self.wake_on_fleet_change():
+            for notice in message.upstreams:
+                self._record_upstream(notice, message.gateway.address, now)
+
+    def _record_upstream(self, notice: UpstreamNotice, reporter: str, now: float) -> None:
+        """Record the rate limit and the departure that an upstream announced to a gateway."""
         name, limit = notice.instance, notice.limit
         if limit is not None and self.fleet.note_limit(name, limit, now):
-            log_event(Event.UPSTREAM_LIMITED, id=name, rate=limit.rate, by=by)
+            log_event(Event.UPSTREAM_LIMITED, id=name, rate=limit.rate, by=reporter)
         for instance in self.fleet.note_leaving(name) if notice.leaving else ():
             self._log_change(instance)
 
-    def knows_loads(self, now: float) -> bool:
-        """Return whether nearly all gateways have said here of late what work they have.
+    def has_enough_load_reports(self, now: float) -> bool:
+        """Return whether enough gateways have recently reported their load here to place requests.
 
-        :param now: the time.
+        :param now: the current time.
         """
         return self.loads.count_gateways() >= LOADS_KNOWN_SHARE * self.count_gateways(now)
 
     def prune(self, now: float) -> None:
-        """Drop upstreams not heard for long; called each turn.
+        """Drop expired upstreams, loads and suspicions; called periodically.
 
-        :param now: the time.
+        A call that comes late shows that this process was stalled.
+
+        :param now: the current time.
         """
-        wait = now - self._turned_at
-        if wait > LOOP_STALL_SECONDS:
-            self._waited = _Waited(wait, now + LOOP_STALL_SECONDS)
-        self._turned_at = now
+        late_seconds = now - self._pruned_at
+        if late_seconds > LOOP_STALL_SECONDS:
+            self._last_stall = _Stall(late_seconds, now + LOOP_STALL_SECONDS)
+        self._pruned_at = now
         self.loads.prune(now)
         self.shared.turn(now)
         for instance in self.fleet.prune(now):
             log_event(Event.UPSTREAM_LEFT, id=instance.id, service=instance.service, why="age")
             self._wake()
 
-    def _find_wait(self, now: float) -> float:
+    def _find_stall_seconds(self, now: float) -> float:
         """Return how long a heartbeat that is read now may have waited for this process.
 
-        One that stood still reads what came meanwhile in one go; an upstream that ended since
-        would seem alive for as many heartbeats as are borne.
+        After a stall the backlog is read at once. Without this age an upstream that ended during
+        the stall would count as alive until its heartbeats are overdue.
         """
-        wait = now - self._turned_at
-        if wait > LOOP_STALL_SECONDS:
-            return wait
-        if self._waited is not None and now < self._waited.until:
-            return self._waited.seconds
+        late_seconds = now - self._pruned_at
+        if late_seconds > LOOP_STALL_SECONDS:
+            return late_seconds
+        if self._last_stall is not None and now < self._last_stall.until:
+            return self._last_stall.seconds
         return 0.0
 
     def count_gateways(self, now: float) -> int:
-        """Return how many gateways were heard of late, whether they take clients or not.
+        """Return how many gateways were heard recently, whether they accept clients or not.
 
-        :param now: the time.
+        :param now: the current time.
         """
-        return self._take_snapshot(now).alive
+        return self._get_snapshot(now).alive
 
     def find_lookup_life(self) -> float:
-        """Return how long a client should keep the addresses of gateways, in seconds."""
-        snapshot = self._take_snapshot(anyio.current_time())
+        """Return how long a client should cache the addresses of gateways, in seconds."""
+        snapshot = self._get_snapshot(anyio.current_time())
         drains = snapshot.alive > len(snapshot.serving)
         return LOOKUP_CHANGING_SECONDS if drains else LOOKUP_KEPT_SECONDS
 
-    def count_others(self, asker: str) -> int:
-        """Return how many other gateways take clients.
+    def count_other_gateways(self, excluded: str) -> int:
+        """Return how many other gateways accept clients.
 
-        :param asker: a gateway's address.
+        :param excluded: address of the gateway that is left out.
         """
-        serving = self._take_snapshot(anyio.current_time()).serving
-        return sum(notice.address != asker for notice in serving)
+        serving = self._get_snapshot(anyio.current_time()).serving
+        return sum(notice.address != excluded for notice in serving)
 
     async def hear(self, sighting: Sighting) -> Failure | None:
-        """Take an upstream's heartbeat; return nothing once it counts.
+        """Process an upstream's heartbeat; return a failure if a departure could not be shared.
 
-        :param sighting: what it says.
+        :param sighting: the heartbeat.
         """
         now = anyio.current_time()
-        sighting = replace(sighting, age=self._find_wait(now))
-        with self.waking():
+        sighting = replace(sighting, age=self._find_stall_seconds(now))
+        with self.wake_on_fleet_change():
             changed = self.fleet.note(sighting, now)
         for instance in changed:
             self._log_change(instance)
         if sighting.instance in changed and sighting.instance.state is not InstanceState.READY:
-            return await self._tell_leaving(sighting.instance)
+            return await self._share_departure(sighting.instance)
         return None
 
     async def part(self, name: str, born: int = 0) -> Failure | None:
-        """Note that an upstream is gone; return nothing once it counts.
+        """Mark an upstream as gone; return a failure if that could not be shared.
 
-        :param name: what it calls itself.
-        :param born: which start of it; 0 for the last one that is known.
+        :param name: the upstream's name.
+        :param born: identifies the start of its process; 0 for the latest known.
         """
         for instance in self.fleet.leave(name, anyio.current_time(), born):
             self._log_change(instance)
             self._wake()
         known = self.fleet.find(name, born)
-        return await self._tell_leaving(known) if known is not None else None
+        return await self._share_departure(known) if known is not None else None
 
-    async def _tell_leaving(self, instance: Instance) -> Failure | None:
+    async def _share_departure(self, instance: Instance) -> Failure | None:
         """Tell the other coordinators at once that an upstream leaves.
 
-        This one may die before the next turn, and who watches it would never hear.
+        If this process ended before its next regular share, the departure would be lost.
         """
         now = anyio.current_time()
         others = [peer for peer in self._list_others() if self._peers.is_alive(peer, now)]
         if not others:
             return None
-        told: list[str] = []
+        confirmed: list[str] = []
         done = anyio.Event()
 
-        async def tell(peer: str) -> None:
+        async def notify(peer: str) -> None:
             sightings = (Sighting(instance, 0.0),)
             request = encode(ShareRequest(self._name, (), sightings))
             url = f"{make_url(peer)}/site/share"
             answer = await self._links.call(url, request, ShareAnswer, LEAVE_TOLD_SECONDS)
             if isinstance(answer, ShareAnswer):
-                told.append(peer)
-            if 2 * len(told) >= len(others):
+                confirmed.append(peer)
+            if 2 * len(confirmed) >= len(others):
                 done.set()
 
         with anyio.move_on_after(LEAVE_TOLD_SECONDS):
             async with anyio.create_task_group() as tasks:
                 for peer in others:
-                    tasks.start_soon(tell, peer)
+                    tasks.start_soon(notify, peer)
                 await done.wait()
-        if not told:
-            reason = f"none of {len(others)} other coordinators heard it"
+        if not confirmed:
+            reason = f"none of {len(others)} other coordinators acknowledged it"
             log_event(Event.LEAVE_NOT_SPREAD, id=instance.id, others=len(others))
             return Failure(FailureKind.NO_MAJORITY, reason)
         return None
@@ -311,33 +315,33 @@
         )
 
     def list_gateways(self, zone: str) -> list[str]:
-        """Return the addresses of the gateways that take clients, a zone's first.
+        """Return the addresses of the gateways that accept clients, those in a zone first.
 
-        :param zone: the asker's availability zone.
+        :param zone: the client's availability zone.
         """
         now = anyio.current_time()
-        alive = list(self._take_snapshot(now).serving)
-        if not alive:
-            alive = self._list_heard(now, GATEWAY_DOUBTFUL_SECONDS)
-        alive.sort(key=lambda notice: (notice.zone != zone, notice.address))
-        return [notice.address for notice in alive]
-
-    def _take_snapshot(self, now: float) -> _Snapshot:
-        """Return the gateways as they were a moment ago, or now if one changed since."""
-        if self._snapshot is None or now - self._snapshot.at > SNAPSHOT_SECONDS:
+        gateways = list(self._get_snapshot(now).serving)
+        if not gateways:
+            gateways = self._list_heard(now, GATEWAY_DOUBTFUL_SECONDS)
+        gateways.sort(key=lambda notice: (notice.zone != zone, notice.address))
+        return [notice.address for notice in gateways]
+
+    def _get_snapshot(self, now: float) -> _Snapshot:
+        """Return the cached snapshot of the gateways, or a new one if it is missing or expired."""
+        if self._snapshot is None or now - self._snapshot.at > MAX_SNAPSHOT_AGE_SECONDS:
             heard = self._list_heard(now, GATEWAY_SILENT_SECONDS, serving=False)
             self._snapshot = _Snapshot(now, len(heard), tuple(n for n in heard if n.serving))
         return self._snapshot
 
     def _list_heard(self, now: float, seconds: float, serving: bool = True) -> list[GatewayNotice]:
-        """Return the gateways heard within some seconds, all or those that take clients."""
+        """Return the gateways heard within some seconds, all or those that accept clients."""
         return [
             gateway.notice
             for gateway in self._gateways.values()
             if now - gateway.heard_at < seconds and (gateway.notice.serving or not serving)
         ]
 
-    def _note_gateway(self, notice: GatewayNotice, now: float) -> None:
+    def _record_gateway(self, notice: GatewayNotice, now: float) -> None:
         heard_at = now - notice.age
         known = self._gateways.get(notice.address)
         if known is None:
@@ -355,45 +359,44 @@
             known.heard_at = heard_at
 
     async def share_loop(self) -> None:
-        """Tell the others several times a second what was heard here, until cancelled.
+        """Send changes and ages to the other coordinators periodically, until cancelled.
 
-        Most of it is that those who were there still are, which takes a number each. Told as whole
-        messages it was a third of an idle coordinator's processor time, among ten: 0.119 and 0.079
-        of a core, by real processes on loopback.
+        A gateway or upstream without changes is sent as its age alone, not as a whole record, which
+        takes less processor time.
         """
         while True:
             await anyio.sleep(SHARE_SECONDS)
             now = anyio.current_time()
-            # What was heard just before the last turn is told once more, so nothing falls between.
+            # Overlaps the previous interval, so that ages noted around its end are sent again.
             since = self._shared_at - SHARE_SECONDS
             self._shared_at = now
-            shares: dict[_Told, bytes] = {}
-            sent = _Told("", self.fleet.revision, self._revision, self.suspects.revision)
+            shares: dict[_AckedRevisions, bytes] = {}
+            sent = _AckedRevisions("", self.fleet.revision, self._revision, self.suspects.revision)
             with anyio.move_on_after(COORDINATOR_CALL_SECONDS):
                 async with anyio.create_task_group() as tasks:
                     for peer in self._list_others():
-                        told = self._told.get(peer, _Told())
-                        if told not in shares:
-                            shares[told] = encode(self._make_share(told, now, since))
-                        tasks.start_soon(self._share_with, peer, shares[told], sent)
-
-    def _make_share(self, told: _Told, now: float, since: float) -> ShareRequest:
-        """Return what is news to one that was told some of it, and who was heard of late."""
-        news = (g for g in self._gateways.values() if g.revision > told.gateways)
+                        acked = self._acked.get(peer, _AckedRevisions())
+                        if acked not in shares:
+                            shares[acked] = encode(self._make_share(acked, now, since))
+                        tasks.start_soon(self._share_with, peer, shares[acked], sent)
+
+    def _make_share(self, acked: _AckedRevisions, now: float, since: float) -> ShareRequest:
+        """Return the changes after some revisions, and the ages of what was heard after a time."""
+        changed_gateways = (g for g in self._gateways.values() if g.revision > acked.gateways)
         return ShareRequest(
             self._name,
-            tuple(replace(g.notice, age=now - g.heard_at) for g in news),
-            tuple(self.fleet.list_changed(now, told.fleet)),
+            tuple(replace(g.notice, age=now - g.heard_at) for g in changed_gateways),
+            tuple(self.fleet.list_changed(now, acked.fleet)),
             {
                 address: round(now - gateway.heard_at, 2)
                 for address, gateway in self._gateways.items()
                 if gateway.heard_at >= since
             },
             self.fleet.list_ages(now, since),
-            self.suspects.list_changed(now, told.suspects),
+            self.suspects.list_changed(now, acked.suspects),
         )
 
-    async def _share_with(self, peer: str, request: bytes, sent: _Told) -> None:
+    async def _share_with(self, peer: str, request: bytes, sent: _AckedRevisions) -> None:
         url = f"{make_url(peer)}/site/share"
         answer = await self._links.call(url, request, ShareAnswer, COORDINATOR_CALL_SECONDS)
         if not isinstance(answer, ShareAnswer):
@@ -401,18 +404,18 @@
         now = anyio.current_time()
         self._peers.note_alive(peer, now)
         self._peers.learn(answer.coordinators, now)
-        epoch = self._told.get(peer, _Told()).epoch
-        anew = epoch not in ("", answer.epoch)
-        # One that has started anew, or has forgotten some of it, is told all of it again.
-        lacking = anew or not answer.complete
-        self._told[peer] = replace(_Told() if lacking else sent, epoch=answer.epoch)
+        epoch = self._acked.get(peer, _AckedRevisions()).epoch
+        restarted = epoch not in ("", answer.epoch)
+        # A coordinator that restarted or lacks some entries is sent the whole state again.
+        resend_all = restarted or not answer.complete
+        self._acked[peer] = replace(_AckedRevisions() if resend_all else sent, epoch=answer.epoch)
 
-    def sum_loads(self, asker: str) -> list[Load]:
-        """Return the work of all gateways but the asker.
+    def sum_other_loads(self, excluded: str) -> list[Load]:
+        """Return the load of all gateways but one.
 
-        :param asker: its address.
+        :param excluded: address of the gateway that is left out.
         """
-        return self.loads.sum_others(asker)
+        return self.loads.sum_others(excluded)
 
 
 def _log_gateway(notice: GatewayNotice) -> None:
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -258,7 +258,7 @@
 
             async def hear() -> None:
                 while True:
-                    first.note_watch(asked)
+                    first.handle_watch(asked)
                     sequence = replace(INSTANCE, sequence=int(10 * anyio.current_time()))
                     await first.hear(Sighting(sequence, 0.0))
                     await anyio.sleep(0.1)
