--- a/src/daleroad/notices.py
+++ b/src/daleroad/notices.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and coordinators. Ages and waits are in seconds."""
+"""Wire messages to and between coordinators of a site. Ages and waits are in seconds."""
 
 from dataclasses import dataclass, field
 
@@ -11,10 +11,12 @@
 
 @dataclass(frozen=True)
 class GatewayNotice:
-    """A gateway as others are told of it.
+    """The state of a gateway.
 
     :param address: IP:PORT for clients.
-    :param serving: whether new clients should be sent there.
+    :param zone: its availability zone.
+    :param region: its region.
+    :param serving: whether it accepts new clients.
     :param age: seconds since it was heard.
     """
 
@@ -27,11 +29,12 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Work that gateways have under way at one instance.
+    """Load of gateways' running requests on one instance.
 
-    :param runs: requests.
-    :param tokens: tokens of memory that they may take in the end.
-    :param unread: prompt tokens of those that have not begun to answer.
+    :param instance: its id.
+    :param runs: number of requests.
+    :param tokens: tokens of engine memory that they may need by their end.
+    :param unread: prompt tokens of the requests without output yet.
     """
 
     instance: str
@@ -40,9 +43,9 @@
     unread: int = 0
 
     def add(self, other: "Load") -> "Load":
-        """Return the sum with other work at the same instance.
+        """Return the sum with another load on the same instance.
 
-        :param other: the other work.
+        :param other: the other load.
         """
         return Load(
             self.instance,
@@ -52,9 +55,9 @@
         )
 
     def subtract(self, other: "Load") -> "Load":
-        """Return what is left without other work at the same instance.
+        """Return the difference from another load on the same instance.
 
-        :param other: the other work.
+        :param other: the load to subtract.
         """
         return Load(
             self.instance,
@@ -64,17 +67,17 @@
         )
 
     def is_empty(self) -> bool:
-        """Return whether there is no work."""
+        """Return whether all counts are zero."""
         return not (self.runs or self.tokens or self.unread)
 
 
 @dataclass(frozen=True)
 class UpstreamNotice:
-    """What a gateway heard an instance say of itself in its answers.
+    """State that an instance announced to a gateway in its responses.
 
     :param instance: its id.
-    :param limit: the newest of the requests that it takes, if it ever named a limit.
-    :param leaving: whether it leaves.
+    :param limit: its newest rate limit, or None if it never announced one.
+    :param leaving: whether it is leaving.
     """
 
     instance: str
@@ -84,10 +87,10 @@
 
 @dataclass(frozen=True)
 class JoinRequest:
-    """A coordinator asks to be sent the log.
+    """Request of a coordinator without a vote to receive the log.
 
     :param name: its address for the other coordinators.
-    :param disk: whether it has a disk and so may vote.
+    :param disk: whether it has a persistent disk, so that it can become a voter.
     """
 
     name: str
@@ -96,7 +99,11 @@
 
 @dataclass(frozen=True)
 class IdentifyAnswer:
-    """What a coordinator says of itself while a group is founded."""
+    """Identity of a coordinator, requested while a group is founded.
+
+    :param name: its address for the other coordinators.
+    :param disk: whether it has a persistent disk.
+    """
 
     name: str
     disk: bool
@@ -104,13 +111,14 @@
 
 @dataclass(frozen=True)
 class ShareRequest:
-    """A coordinator tells another what it heard.
-
-    :param gateways: those that are news to the other.
-    :param sightings: instances that are news to the other.
-    :param gateway_ages: seconds since gateways were heard, by address, where that was of late.
-    :param ages: the same of instances, by id.
-    :param suspicions: requests of which the other does not know all that is held against them.
+    """Liveness state that a coordinator sends to another.
+
+    :param sender: address of the coordinator.
+    :param gateways: gateways that changed since the receiver's last acknowledgement.
+    :param sightings: instances that changed since then.
+    :param gateway_ages: seconds since each recently heard gateway was heard, by address.
+    :param ages: seconds since each recently heard instance was heard, by id.
+    :param suspicions: suspected requests that changed since the last acknowledgement.
     """
 
     sender: str
@@ -123,10 +131,12 @@
 
 @dataclass(frozen=True)
 class ShareAnswer:
-    """Acknowledges a share; names all coordinators that are known.
+    """Acknowledgement of a share or a join request.
 
-    :param epoch: the run of the coordinator that answers; another one knows nothing of before.
-    :param complete: whether it knows all gateways and instances that the share names.
+    :param coordinators: addresses of the known coordinators.
+    :param epoch: identifies the process run of the answering coordinator; its liveness state of
+        earlier runs may be lost.
+    :param complete: whether it knows all gateways and instances that the share gives ages for.
     """
 
     coordinators: tuple[str, ...]
@@ -136,21 +146,21 @@
 
 @dataclass(frozen=True)
 class WatchRequest:
-    """A gateway asks for news and tells of itself.
-
-    :param epoch: the run of the coordinator that ``revision`` counts in.
-    :param revision: the newest revision of the fleet that it has from that run.
-    :param version: the version of the routing configuration that it serves.
-    :param loads: its own work.
-    :param wait: how long the answer may wait for news.
-    :param gather: how long news of the fleet may wait for more.
-    :param wants_loads: whether the others' work should be told.
-    :param whole: whether a newer configuration must be told whole, not as what differs.
-    :param suspicions: what it holds against requests and has not told this coordinator yet.
-    :param suspects: the newest revision of the suspects that it has from that run.
-    :param zones: the version of the evacuated zones that it goes by.
-    :param upstreams: what instances said of themselves, where that changed and was not told this
-        coordinator yet.
+    """Long-poll request of a gateway, which also reports its own state.
+
+    :param gateway: its state.
+    :param epoch: process run of the coordinator that ``revision`` and ``suspects`` belong to.
+    :param revision: newest revision of the fleet that it has from that run.
+    :param version: version of the routing configuration that it serves.
+    :param loads: its own loads.
+    :param wait: how long the answer may wait for changes.
+    :param gather: how long the answer may be delayed to batch fleet changes.
+    :param wants_loads: whether the answer should have the loads of the other gateways.
+    :param whole: whether a newer configuration must be sent in full and not as a patch.
+    :param suspicions: changes of suspected requests not yet sent to this coordinator.
+    :param suspects: newest revision of the suspected requests that it has from that run.
+    :param zones: version of the evacuated zones that it applies.
+    :param upstreams: changed announcements of instances not yet sent to this coordinator.
     """
 
     gateway: GatewayNotice
@@ -170,10 +180,10 @@
 
 @dataclass(frozen=True)
 class LoadsRequest:
-    """A gateway tells the leading coordinator of its work, soon after that changed.
+    """Report of a gateway's changed loads to the leading coordinator.
 
     :param gateway: its address.
-    :param loads: its own work.
+    :param loads: its own loads.
     """
 
     gateway: str
@@ -182,20 +192,20 @@
 
 @dataclass(frozen=True)
 class PlaceRequest:
-    """A gateway asks the leading coordinator for the upstream that a request should go to.
+    """Request of a gateway to the leading coordinator to choose an upstream for a client request.
 
     :param gateway: its address.
     :param zone: its availability zone.
-    :param service: the service that the prompt is for.
-    :param tokens: tokens of memory that it may take.
-    :param unread: tokens of the prompt.
-    :param excluded: instances that it must not go to.
-    :param failing: instances whose answers to this gateway failed of late.
-    :param unreached: instances that it could not reach since they were heard.
-    :param patient: whether it would rather wait a little than have it sent where it does not fit.
-    :param limits: the limits of the service's instances, as the gateway knows them. A leader that
-        lost its news learns them so.
-    :param only: the one instance that it may go to; empty for any.
+    :param service: the service that the client request is for.
+    :param tokens: tokens of engine memory that the client request may need.
+    :param unread: tokens of its prompt.
+    :param excluded: instances that must not be chosen.
+    :param failing: instances whose responses to this gateway failed recently.
+    :param unreached: instances that the gateway could not reach since they were last heard.
+    :param patient: whether the client request should wait if no instance has enough free memory.
+    :param limits: rate limits of the service's instances that the gateway knows. A new leader may
+        not have received them.
+    :param only: the only instance that may be chosen; empty for any.
     """
 
     gateway: str
@@ -213,12 +223,12 @@
 
 @dataclass(frozen=True)
 class PlaceAnswer:
-    """Names the engine for a prompt.
+    """The upstream that was chosen for a request.
 
-    :param instance: its id; empty where there is none.
-    :param granted: whether the request was counted there, so that it may go though the instance
-        bears only so many.
-    :param crowded: whether there are engines, but the prompt fits into none and should wait.
+    :param instance: its id; empty if none was chosen.
+    :param granted: whether the leader counted the request against a rate limit of the instance, so
+        that the gateway may send it.
+    :param crowded: whether the request should wait because it fits into no available instance.
     """
 
     instance: str
@@ -228,21 +238,26 @@
 
 @dataclass(frozen=True)
 class WatchAnswer:
-    """News for a gateway.
-
-    :param leader: address of the leading coordinator, if known.
-    :param document: the routing configuration, when the gateway's is older and not known here.
-    :param patch: what makes the gateway's older configuration into this one.
-    :param sightings: the instances that changed since the revision that was asked with, or all.
-    :param ages: seconds since each instance was heard.
-    :param loads: the work of all other gateways, where it was asked for.
-    :param gateways: how many gateways are alive.
-    :param others: how many other gateways take clients.
-    :param suspicions: what changed of the suspected requests since the revision that was asked
-        with, where it matters where they go.
-    :param suspects: the revision of the suspects.
-    :param held: seconds that the question waited for this answer.
-    :param zones: the evacuated zones, when the gateway's state of them is older.
+    """Answer to a watch.
+
+    :param epoch: identifies the process run of the coordinator.
+    :param revision: revision of the fleet.
+    :param coordinators: addresses of the known coordinators.
+    :param leader: address of the leading coordinator, or empty if unknown.
+    :param version: newest committed version of the routing configuration.
+    :param document: full text of the routing configuration, if the gateway's is older and no patch
+        is sent.
+    :param sightings: instances that changed since the revision in the request, or all.
+    :param ages: seconds since each instance was heard, by id.
+    :param loads: loads of all other gateways, if requested.
+    :param gateways: number of gateways heard recently.
+    :param others: number of other gateways that accept clients.
+    :param patch: difference from the gateway's routing configuration to the newest.
+    :param suspicions: suspected requests that changed since the revision in the request, only those
+        whose placement is or was restricted.
+    :param suspects: revision of the suspected requests.
+    :param held: seconds that the request waited at the coordinator.
+    :param zones: the evacuated zones, if the gateway's version of them is older.
     """
 
     epoch: str
@@ -265,10 +280,10 @@
 
 @dataclass(frozen=True)
 class SuspectsAnswer:
-    """The requests that are suspected.
+    """The requests suspected of crashing engines.
 
-    :param suspicions: all that is known of them.
-    :param held: fingerprints of those that reach no upstream.
+    :param suspicions: what is known of each.
+    :param held: fingerprints of the requests that are sent to no upstream.
     """
 
     suspicions: tuple[Suspicion, ...]
@@ -277,9 +292,9 @@
 
 @dataclass(frozen=True)
 class ReleaseRequest:
-    """An operator takes back what is held against a request.
+    """An operator's order to clear the suspicion of a request.
 
-    :param fingerprint: the request.
+    :param fingerprint: identifies the request.
     """
 
     fingerprint: str
@@ -287,9 +302,9 @@
 
 @dataclass(frozen=True)
 class TrialRequest:
-    """A gateway asks the leading coordinator to try a request that was held for long.
+    """Request of a gateway to the leading coordinator for a trial of a request held for long.
 
-    :param fingerprint: the request.
+    :param fingerprint: identifies the suspected request.
     """
 
     fingerprint: str
@@ -297,16 +312,17 @@
 
 @dataclass(frozen=True)
 class TrialAnswer:
-    """Says whether this gateway may try it now; no other may then for a while."""
+    """Whether the gateway may try the request now; if so, no other may for some time."""
 
     granted: bool
 
 
 @dataclass(frozen=True)
 class EvacuateRequest:
-    """Asks any coordinator for an order about an availability zone.
+    """Request to any coordinator to evacuate an availability zone or to end its evacuation.
 
-    :param evacuated: whether the zone's upstreams get nothing from now on.
+    :param zone: the availability zone.
+    :param evacuated: whether the zone's upstreams should get no requests.
     """
 
     zone: str
@@ -315,16 +331,19 @@
 
 @dataclass(frozen=True)
 class SaveRequest:
-    """Asks the leader to commit a routing configuration."""
+    """Request to the leader to commit a routing configuration.
+
+    :param document: its text.
+    """
 
     document: str
 
 
 @dataclass(frozen=True)
 class SaveAnswer:
-    """The configuration is saved by a majority, or an equal or newer one already was.
+    """Confirmation that this or an equal or newer routing configuration is committed.
 
-    :param version: the newest version.
+    :param version: the newest committed version.
     """
 
     version: int
@@ -332,7 +351,11 @@
 
 @dataclass(frozen=True)
 class ReadAnswer:
-    """The newest routing configuration, by the word of a leader that just heard a majority."""
+    """The newest routing configuration, read from a leader with a valid lease.
+
+    :param version: its version.
+    :param document: its text.
+    """
 
     version: int
     document: str
--- a/src/daleroad/watching.py
+++ b/src/daleroad/watching.py
@@ -1,7 +1,8 @@
-"""A gateway watches some coordinators: configuration, fleet, and the others' load.
+"""Long polling of coordinators by a gateway: configuration, fleet and other gateways' loads.
 
-It watches several at a time, since one may be cut off or gone without a word. Whatever comes is
-merged so that it only goes forward: versions grow, instances that left stay away.
+A gateway watches several coordinators at a time, since one may be partitioned or fail silently.
+Answers are merged monotonically: an older configuration version never replaces a newer one, and an
+instance that left stays gone.
 """
 
 import time
@@ -38,44 +39,44 @@
 
 
 @dataclass(frozen=True)
-class _Followed:
-    """What is known of the coordinator that a slot watches.
-
-    :param epoch: its run.
-    :param revision: the newest revision of the fleet that is known from that run.
-    :param suspects: the same of the suspected requests.
-    :param told: number of the last piece of this gateway's news that it has heard.
-    :param upstreams: the same of what upstreams said of themselves.
+class _WatchProgress:
+    """How far a gateway and the coordinator that a slot watches have synchronised.
+
+    :param epoch: identifies the process run of the coordinator.
+    :param revision: newest revision of the fleet that was received from that run.
+    :param suspects: newest revision of the suspected requests that was received from that run.
+    :param last_suspicion: sequence number of the last suspicion that the coordinator received.
+    :param last_upstream_change: sequence number of the last upstream change that it received.
     """
 
     epoch: str = ""
     revision: int = 0
     suspects: int = 0
-    told: int = 0
-    upstreams: int = 0
+    last_suspicion: int = 0
+    last_upstream_change: int = 0
 
 
 @dataclass(frozen=True)
-class _Asked:
-    """A question as it was sent.
+class _SentWatch:
+    """An encoded watch request.
 
-    :param at: when, on the runtime's clock.
-    :param told: number of the last piece of news in it.
-    :param upstreams: the same of what upstreams said of themselves.
+    :param sent_at: when it was made, on the runtime's clock.
+    :param last_suspicion: sequence number of the last suspicion in it.
+    :param last_upstream_change: sequence number of the last upstream change in it.
     """
 
     body: bytes
-    at: float
-    told: int
-    upstreams: int
+    sent_at: float
+    last_suspicion: int
+    last_upstream_change: int
 
 
 class Watcher:
-    """Keeps a gateway's beliefs up to date.
+    """Watches coordinators and applies their answers to a gateway.
 
     :param gateway: the gateway.
-    :param links: connections.
-    :param parse: reads a routing configuration from its document.
+    :param links: client for calls to coordinators.
+    :param parse: parses a routing configuration from its document.
     """
 
     def __init__(self, gateway: Gateway, links: Calls, parse: Parse) -> None:
@@ -83,28 +84,28 @@
         self._links = links
         self._parse = parse
         self._seeds = gateway.options.seeds
-        self._known: tuple[str, ...] = ()
+        self._coordinators: tuple[str, ...] = ()
         self._leader = ""
         self._watched: dict[int, str] = {}
         self._failed_at: dict[str, float] = {}
-        self._told = anyio.Event()
+        self._report_needed = anyio.Event()
         self._document = Document(0, "")
-        self._wants_whole = False
+        self._needs_full_document = False
 
     def replace_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other addresses to begin with.
+        """Replace the addresses of coordinators to contact first.
 
         :param seeds: the addresses.
         """
         self._seeds = seeds
 
     def tell_now(self) -> None:
-        """Let the coordinators know at once that this gateway's notice changed."""
-        self._told.set()
-        self._told = anyio.Event()
+        """Send new watch requests at once, because this gateway's notice or its reports changed."""
+        self._report_needed.set()
+        self._report_needed = anyio.Event()
 
     def get_leader(self) -> str | None:
-        """Return the leading coordinator, if it is watched and answers."""
+        """Return the leading coordinator, if it is watched and its last watch didn't fail."""
         leader = self._leader
         heard = leader in self._watched.values() and leader not in self._failed_at
         return leader if heard else None
@@ -116,138 +117,152 @@
                 tasks.start_soon(self._watch_slot, slot)
 
     async def _watch_slot(self, slot: int) -> None:
-        known = _Followed()
+        progress = _WatchProgress()
         while True:
-            name = self._choose(slot)
+            name = self._choose_coordinator(slot)
             if name is None:
                 await anyio.sleep(WATCH_SLOW_SECONDS)
                 continue
             if self._watched.get(slot) != name:
-                known = _Followed()
+                progress = _WatchProgress()
                 self._watched[slot] = name
-            asked, answer = await self._ask(name, known)
+            sent, answer = await self._send_watch(name, progress)
             if isinstance(answer, Failure):
-                self._note_failed(name, answer)
+                self._record_failure(name, answer)
                 self._watched.pop(slot, None)
                 await anyio.sleep(WATCH_PAUSE_SECONDS)
                 continue
             if self._failed_at.pop(name, None) is not None:
                 log_event(Event.COORDINATOR_REGAINED, name=name)
-            known = _Followed(
-                answer.epoch, answer.revision, answer.suspects, asked.told, asked.upstreams
+            progress = _WatchProgress(
+                answer.epoch,
+                answer.revision,
+                answer.suspects,
+                sent.last_suspicion,
+                sent.last_upstream_change,
             )
-            self._apply(answer, name, asked.at + answer.held)
+            self._apply_answer(answer, name, sent.sent_at + answer.held)
 
-    def _choose(self, slot: int) -> str | None:
-        """Return the coordinator that a slot should watch; the leader has a slot always."""
+    def _choose_coordinator(self, slot: int) -> str | None:
+        """Return the coordinator that a slot should watch, or None if there is none.
+
+        The leader is preferred, unless another slot watches it or it failed recently.
+        """
         taken = {name for other, name in self._watched.items() if other != slot}
-        names = [n for n in dict.fromkeys([*self._known, *self._seeds]) if n not in taken]
+        names = [n for n in dict.fromkeys([*self._coordinators, *self._seeds]) if n not in taken]
         if not names:
             return None
-        if self._leader in names and self._may_watch_leader():
+        if self._leader in names and self._can_retry_leader():
             return self._leader
         current = self._watched.get(slot)
         if current in names and current not in self._failed_at:
             return current
-        # Those that failed longest ago come first, and those that never failed before them. Of the
-        # latter each gateway takes another, or a few coordinators would serve all gateways.
-        sound = [name for name in names if name not in self._failed_at]
-        if sound:
-            return self._gateway.random.choice(sound)
+        # Prefers coordinators without a failure, at random to spread the gateways over them, then
+        # the one whose failure is the longest ago.
+        without_failure = [name for name in names if name not in self._failed_at]
+        if without_failure:
+            return self._gateway.random.choice(without_failure)
         return min(names, key=lambda name: self._failed_at[name])
 
-    def _may_watch_leader(self) -> bool:
-        """Return whether the leader did not fail this gateway of late.
+    def _can_retry_leader(self) -> bool:
+        """Return whether no watch of the leader failed recently.
 
-        Others say that it leads, so it lives; one that failed once is tried again. Without that a
-        gateway whose first call came before the leader listened never watched it, nor got engines
-        named by it: of 71 gateways that started at one moment 23, and so few of the others' loads
-        were known that no engine was named for anybody.
+        Other coordinators report that it leads, so it is retried after a pause. Otherwise a gateway
+        that called it before it listened would never watch it, and the leader places requests only
+        when it knows the loads of nearly all gateways.
         """
         failed_at = self._failed_at.get(self._leader, float("-inf"))
         return anyio.current_time() - failed_at >= LEADER_AGAIN_SECONDS
 
-    def _is_fast(self, name: str) -> bool:
+    def _is_load_exchange_peer(self, name: str) -> bool:
         if self._leader in self._watched.values():
             return name == self._leader
         return name == min(self._watched.values())
 
-    async def _ask(self, name: str, known: _Followed) -> tuple[_Asked, WatchAnswer | Failure]:
-        """Return a coordinator's answer, and the question that it answers."""
+    async def _send_watch(
+        self, name: str, progress: _WatchProgress
+    ) -> tuple[_SentWatch, WatchAnswer | Failure]:
+        """Return a coordinator's answer, and the watch request that it answers."""
         gateway = self._gateway
-        fast = self._is_fast(name)
-        wait = find_fast_wait(gateway.chooser.gateways) if fast else WATCH_SLOW_SECONDS
-        gather = WATCH_FAST_GATHER_SECONDS if fast else WATCH_SLOW_GATHER_SECONDS
+        exchanges_loads = self._is_load_exchange_peer(name)
+        wait = (
+            find_load_exchange_seconds(gateway.chooser.gateways)
+            if exchanges_loads
+            else WATCH_SLOW_SECONDS
+        )
+        gather = WATCH_FAST_GATHER_SECONDS if exchanges_loads else WATCH_SLOW_GATHER_SECONDS
         version = gateway.get_version()
 
-        def make_request() -> _Asked:
-            whole = self._wants_whole or version != self._document.version
-            asked = WatchRequest(
+        def make_request() -> _SentWatch:
+            full_document = self._needs_full_document or version != self._document.version
+            message = WatchRequest(
                 gateway.make_notice(),
-                known.epoch,
-                known.revision,
+                progress.epoch,
+                progress.revision,
                 version,
                 gateway.loads.list_own(),
                 wait,
                 gather,
-                fast,
-                whole,
-                gateway.news.list_after(known.told),
-                known.suspects,
+                exchanges_loads,
+                full_document,
+                gateway.news.list_after(progress.last_suspicion),
+                progress.suspects,
                 gateway.guard.zones.version,
-                gateway.list_upstream_news(known.upstreams),
+                gateway.list_upstream_news(progress.last_upstream_change),
             )
             now = anyio.current_time()
-            return _Asked(encode(asked), now, gateway.news.newest, gateway.upstream_news.newest)
+            return _SentWatch(
+                encode(message), now, gateway.news.newest, gateway.upstream_news.newest
+            )
 
         request = make_request()
-        found: list[WatchAnswer | Failure] = []
+        answers: list[WatchAnswer | Failure] = []
 
         async def call() -> None:
             url = f"http://{name}/site/watch"
             seconds = wait + WATCH_SLACK_SECONDS
-            found.append(await self._links.call(url, request.body, WatchAnswer, seconds))
+            answers.append(await self._links.call(url, request.body, WatchAnswer, seconds))
             tasks.cancel_scope.cancel()
 
         async def interrupt() -> None:
-            # A changed notice is told by a new question; the old one is dropped.
-            await told.wait()
+            # Cancels the pending call when there is something to report; a new request follows.
+            await report_needed.wait()
             tasks.cancel_scope.cancel()
 
-        told = self._told
-        while not found:
+        report_needed = self._report_needed
+        while not answers:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call)
                 tasks.start_soon(interrupt)
-            if not found:
-                told = self._told
+            if not answers:
+                report_needed = self._report_needed
                 request = make_request()
-        return request, found[0]
+        return request, answers[0]
 
-    def _note_failed(self, name: str, failure: Failure) -> None:
+    def _record_failure(self, name: str, failure: Failure) -> None:
         if name not in self._failed_at:
             log_event(Event.COORDINATOR_LOST, name=name, reason=failure.reason)
         self._failed_at[name] = anyio.current_time()
 
-    def _apply(self, answer: WatchAnswer, name: str, made_at: float) -> None:
-        """Take in an answer.
+    def _apply_answer(self, answer: WatchAnswer, name: str, made_at: float) -> None:
+        """Apply an answer to the gateway.
 
-        :param made_at: when it was made at the earliest. It may have waited here for as long as
-            this VM was suspended, and what it tells is as old.
+        :param made_at: earliest time at which the coordinator can have made the answer. Ages count
+            from it, since the answer may have waited here, for example while this VM was suspended.
         """
         gateway = self._gateway
         now = anyio.current_time()
         gateway.heard_at = max(gateway.heard_at, made_at)
         gateway.chooser.gateways = max(1, answer.gateways)
-        if self._is_fast(name):
-            # One that has just started has not heard of all gateways yet; the leader mostly has.
+        if self._is_load_exchange_peer(name):
+            # A coordinator that just started doesn't know all gateways yet; the leader mostly does.
             gateway.others = answer.others
         if answer.zones is not None and gateway.replace_zones(answer.zones):
             _log_zones(answer.zones, name)
-        self._known = answer.coordinators
+        self._coordinators = answer.coordinators
         self._leader = answer.leader or self._leader
-        self._failed_at = {n: at for n, at in self._failed_at.items() if n in self._known}
-        text = self._find_text(answer)
+        self._failed_at = {n: at for n, at in self._failed_at.items() if n in self._coordinators}
+        text = self._extract_document_text(answer)
         if text is not None:
             self._apply_document(Document(answer.version, text), name)
         changed = gateway.fleet.note_all(answer.sightings, made_at)
@@ -264,28 +279,28 @@
 
     def _apply_suspicions(self, answer: WatchAnswer, now: float) -> None:
         suspects = self._gateway.suspects
-        for told in answer.suspicions:
-            before = suspects.get_standing(told.fingerprint, now)
-            suspects.merge(told, now)
-            refuted = suspects.refute(told.fingerprint, now)
+        for suspicion in answer.suspicions:
+            before = suspects.get_standing(suspicion.fingerprint, now)
+            suspects.merge(suspicion, now)
+            refuted = suspects.refute(suspicion.fingerprint, now)
             if refuted is not None:
                 self._gateway.tell(refuted)
-            standing = suspects.get_standing(told.fingerprint, now)
+            standing = suspects.get_standing(suspicion.fingerprint, now)
             if standing is not before:
-                log_suspicion(suspects.get(told.fingerprint, now), standing)
+                log_suspicion(suspects.get(suspicion.fingerprint, now), standing)
         suspects.prune(now)
 
-    def _find_text(self, answer: WatchAnswer) -> str | None:
-        """Return the text of a newer configuration, if the answer tells one."""
+    def _extract_document_text(self, answer: WatchAnswer) -> str | None:
+        """Return the text of a newer configuration, if the answer has one that can be used."""
         if answer.version <= self._gateway.get_version():
-            # Another coordinator was sooner.
+            # Already received, for example from another coordinator.
             return None
         if answer.patch is None or answer.patch.base != self._document.version:
             return answer.document
         text = apply_patch(self._document.text, answer.patch)
         if isinstance(text, Failure):
             log_event(Event.DOCUMENT_UNREADABLE, index=answer.version, reason=text.reason)
-            self._wants_whole = True
+            self._needs_full_document = True
             return None
         return text
 
@@ -298,7 +313,7 @@
         before = gateway.get_version()
         gateway.replace_config(config)
         self._document = document
-        self._wants_whole = False
+        self._needs_full_document = False
         if config.version > before:
             log_event(Event.CONFIG_IN_FORCE, version=config.version, before=before, by=name)
 
@@ -312,17 +327,19 @@
 
 
 def _log_zones(zones: EvacuatedZones, name: str) -> None:
-    """Log which zones get nothing from now on, and how long after the order."""
+    """Log the evacuated zones that are now in force, and the time since the order."""
     age = round(time.time() - zones.at, 3)
     log_event(
         Event.ZONES_IN_FORCE, version=zones.version, zones=list(zones.zones), age=age, by=name
     )
 
 
-def find_fast_wait(gateways: int) -> float:
+def find_load_exchange_seconds(gateways: int) -> float:
     """Return the interval at which a gateway exchanges loads, in seconds.
 
-    :param gateways: how many there are.
+    The interval grows with the number of gateways, to bound their total rate.
+
+    :param gateways: number of gateways.
     """
-    shared = WATCH_FAST_SECONDS * gateways / WATCH_FAST_GATEWAYS
-    return min(WATCH_SLOW_SECONDS, max(WATCH_FAST_SECONDS, shared))
+    scaled = WATCH_FAST_SECONDS * gateways / WATCH_FAST_GATEWAYS
+    return min(WATCH_SLOW_SECONDS, max(WATCH_FAST_SECONDS, scaled))
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -16,7 +16,7 @@
 )
 from daleroad.errors import Failure, FailureKind
 from daleroad.notices import WatchAnswer
-from daleroad.watching import Watcher, find_fast_wait
+from daleroad.watching import Watcher, find_load_exchange_seconds
 from tests.fakes import FakeDispatcher, make_gateway
 from tests.test_coordinator import parse
 
@@ -27,16 +27,16 @@
 class WaitTest(unittest.TestCase):
     def test_few_gateways_exchange_loads_at_the_full_rate(self) -> None:
         for gateways in (1, 12, WATCH_FAST_GATEWAYS):
-            self.assertEqual(find_fast_wait(gateways), WATCH_FAST_SECONDS)
+            self.assertEqual(find_load_exchange_seconds(gateways), WATCH_FAST_SECONDS)
 
     def test_the_rate_of_all_together_stays_bounded_until_they_ask_slowly(self) -> None:
         most = WATCH_FAST_GATEWAYS / WATCH_FAST_SECONDS
         for gateways in (25, 67, 90):
-            self.assertLessEqual(gateways / find_fast_wait(gateways), most + 1e-9)
-        self.assertEqual(find_fast_wait(1000), WATCH_SLOW_SECONDS)
+            self.assertLessEqual(gateways / find_load_exchange_seconds(gateways), most + 1e-9)
+        self.assertEqual(find_load_exchange_seconds(1000), WATCH_SLOW_SECONDS)
 
     def test_no_gateway_seems_dead_between_two_questions(self) -> None:
-        self.assertLess(find_fast_wait(1000), GATEWAY_SILENT_SECONDS)
+        self.assertLess(find_load_exchange_seconds(1000), GATEWAY_SILENT_SECONDS)
 
 
 class Coordinators:
