--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Tests of coordinators that speak over loopback: founding, saving, replacement, leaves."""
+"""Tests of coordinators over loopback: replication, membership, liveness sharing and watches."""
 
 import socket
 import tempfile
@@ -41,14 +41,14 @@
 from daleroad.watching import Watcher
 from tests.fakes import FakeDispatcher
 
-WAIT_SECONDS = 15.0
+MAX_WAIT_SECONDS = 15.0
 GATHER_SECONDS = 0.6
 SERVICE = "s"
 INSTANCE = Instance("i-1", "s", "10.0.0.1:80", "z", 4, InstanceState.READY, 3)
 
 
 def parse(document: bytes) -> RoutingConfig | Failure:
-    """Read the documents of these tests: a version and nothing else."""
+    """Parse a test document; only its version is used."""
     try:
         services = (ServiceRule(SERVICE, "/", 10, None),)
         return RoutingConfig(orjson.loads(document)["version"], (), services, ())
@@ -62,23 +62,23 @@
 
 def pick_addresses(count: int) -> list[str]:
     sockets = [socket.socket() for _ in range(count)]
-    for found in sockets:
-        found.bind(("127.0.0.1", 0))
-    names = [f"127.0.0.1:{found.getsockname()[1]}" for found in sockets]
-    for found in sockets:
-        found.close()
+    for sock in sockets:
+        sock.bind(("127.0.0.1", 0))
+    names = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return names
 
 
-async def wait_for(found: Callable[[], object]) -> None:
-    """Wait until something holds."""
-    with anyio.fail_after(WAIT_SECONDS):
-        while not found():
+async def wait_for(condition: Callable[[], object]) -> None:
+    """Wait until a condition is true; raise TimeoutError if it isn't in time."""
+    with anyio.fail_after(MAX_WAIT_SECONDS):
+        while not condition():
             await anyio.sleep(0.02)
 
 
 class Site:
-    """Coordinators of one site in one process, each with a folder and a server of its own."""
+    """Coordinators of one site in one process, each with its own data directory and server."""
 
     def __init__(self, tasks: TaskGroup, folder: str, names: list[str]) -> None:
         self.tasks = tasks
@@ -97,8 +97,8 @@
             async with AsyncExitStack() as stack:
                 stack.callback(ended.set)
                 with scope:
-                    async with anyio.create_task_group() as own:
-                        own.start_soon(coordinator.run, own)
+                    async with anyio.create_task_group() as coordinator_tasks:
+                        coordinator_tasks.start_soon(coordinator.run, coordinator_tasks)
                         await serve_app(
                             coordinator.make_router(), name, Tls(), anyio.sleep_forever, 0.1
                         )
@@ -122,8 +122,10 @@
 
 
 def run_site(body: Callable, count: int = 4, run: Callable = anyio.run) -> None:
-    """Run something with the three coordinators of a new site that have a leader.
+    """Run a test with the three coordinators of a new site, once they have a leader.
 
+    :param body: coroutine function of the test; gets the site and the addresses.
+    :param count: number of addresses, three of which are used from the start.
     :param run: runs the event loop.
     """
 
@@ -151,20 +153,20 @@
         assert not isinstance(answer, Failure), answer
         return answer.version, orjson.loads(answer.document)["note"]
 
-    def test_the_highest_version_wins_at_whichever_coordinator(self) -> None:
+    def test_highest_version_wins_through_any_coordinator(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             await self.save(site.get(names[0]), 3, "three")
             await self.save(site.get(names[1]), 2, "older")
             await self.save(site.get(names[2]), 3, "other content")
             for name in names[:3]:
                 self.assertEqual(await self.read(site.get(name)), (3, "three"))
-            refused = await site.get(names[0]).log.save(b'{"versi')
-            assert isinstance(refused, Failure)
-            self.assertIs(refused.kind, FailureKind.INVALID)
+            refusal = await site.get(names[0]).log.save(b'{"versi')
+            assert isinstance(refusal, Failure)
+            self.assertIs(refusal.kind, FailureKind.INVALID)
 
         run_site(body)
 
-    def test_what_was_saved_survives_that_all_are_killed(self) -> None:
+    def test_saved_configuration_survives_restart_of_all_coordinators(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             await self.save(site.get(names[0]), 5, "kept")
             for name in names[:3]:
@@ -176,60 +178,61 @@
 
         run_site(body)
 
-    def test_one_that_starts_alone_knows_what_was_committed_before(self) -> None:
+    def test_single_restarted_coordinator_knows_committed_configuration(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             for version in (5, 6, 7):
                 await self.save(site.get(names[0]), version, "kept")
             for name in names[:3]:
                 await site.kill(name)
-            alone = await site.start(names[0], founding=False)
-            # The last commit is known by the next entry only, which never came.
-            await wait_for(lambda: alone.get_version() >= 6)
-            self.assertIsInstance(await alone.log.read(), Failure)
+            restarted = await site.start(names[0], founding=False)
+            # Only a further entry would record that the last one was committed.
+            await wait_for(lambda: restarted.get_version() >= 6)
+            self.assertIsInstance(await restarted.log.read(), Failure)
 
         run_site(body)
 
-    def test_one_that_starts_alone_knows_the_upstreams_of_before(self) -> None:
+    def test_single_restarted_coordinator_recovers_upstreams_as_overdue(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             await site.get(names[0]).presence.hear(Sighting(INSTANCE, 0.0))
             await anyio.sleep(2 * FLEET_KEPT_SECONDS)
             for name in names[:3]:
                 await site.kill(name)
-            alone = await site.start(names[0], founding=False)
-            await wait_for(lambda: alone.presence.fleet.count() == 1)
-            age = alone.presence.fleet.get_age("i-1", anyio.current_time())
+            restarted = await site.start(names[0], founding=False)
+            await wait_for(lambda: restarted.presence.fleet.count() == 1)
+            age = restarted.presence.fleet.get_age("i-1", anyio.current_time())
             self.assertGreaterEqual(age, RECOVERED_HEARTBEATS)
 
         run_site(body)
 
-    def test_without_a_majority_nothing_is_saved_and_nothing_old_is_read(self) -> None:
+    def test_save_and_read_fail_without_a_majority(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             await self.save(site.get(names[0]), 1, "one")
             await site.kill(names[1])
             await site.kill(names[2])
-            left = site.get(names[0])
-            await wait_for(lambda: not left.is_leading())
-            self.assertIsInstance(await left.log.read(), Failure)
-            self.assertIsInstance(await left.log.save(make_document(2)), Failure)
+            remaining = site.get(names[0])
+            await wait_for(lambda: not remaining.is_leading())
+            self.assertIsInstance(await remaining.log.read(), Failure)
+            self.assertIsInstance(await remaining.log.save(make_document(2)), Failure)
 
         run_site(body)
 
-    def test_a_replacement_takes_the_vote_and_then_bears_another_loss(self) -> None:
+    def test_replacement_becomes_voter_and_tolerates_another_loss(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             await self.save(site.get(names[0]), 1, "one")
-            gone = next(n for n in names[:3] if site.get(n) is not site.get_leader())
-            await site.kill(gone)
+            stopped = next(n for n in names[:3] if site.get(n) is not site.get_leader())
+            await site.kill(stopped)
             await site.start(names[3], founding=False)
 
-            def has_replaced() -> bool:
-                # Each has to know that the change is committed, or it waits for the old majority.
+            def is_replaced() -> bool:
+                # Until a replica knows the change as committed, it also needs the old majority.
                 return all(
-                    {names[3]} <= {m.name for m in found} and gone not in {m.name for m in found}
+                    {names[3]} <= {m.name for m in members}
+                    and stopped not in {m.name for m in members}
                     for c, _, _ in site.running.values()
-                    if (found := c.group.replica.get_settled_members()) is not None
+                    if (members := c.group.replica.get_settled_members()) is not None
                 )
 
-            await wait_for(has_replaced)
+            await wait_for(is_replaced)
             leader = site.get_leader()
             assert leader is not None
             await site.kill(leader.options.name)
@@ -238,41 +241,41 @@
 
         run_site(body)
 
-    def test_one_without_a_disk_serves_and_never_votes(self) -> None:
+    def test_coordinator_without_disk_serves_but_is_no_voter(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
-            extra = await site.start(names[3], disk=False)
+            diskless = await site.start(names[3], disk=False)
             await self.save(site.get(names[0]), 1, "one")
-            await wait_for(lambda: extra.get_version() == 1)
-            self.assertEqual(await self.read(extra), (1, "one"))
+            await wait_for(lambda: diskless.get_version() == 1)
+            self.assertEqual(await self.read(diskless), (1, "one"))
             leader = site.get_leader()
             assert leader is not None
             self.assertNotIn(names[3], [m.name for m in leader.group.replica.members])
 
         run_site(body)
 
-    def test_one_that_forgot_what_it_was_told_is_told_all_of_it_again(self) -> None:
+    def test_whole_state_is_shared_again_with_a_peer_that_lost_it(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             first, second = (site.get(name).presence for name in names[:2])
             notice = GatewayNotice("10.0.0.1:80", "z", "r", True)
-            asked = WatchRequest(notice, "", 0, 1, (), 0.0, 0.0, False)
+            message = WatchRequest(notice, "", 0, 1, (), 0.0, 0.0, False)
 
-            async def hear() -> None:
+            async def send_heartbeats() -> None:
                 while True:
-                    first.handle_watch(asked)
-                    sequence = replace(INSTANCE, sequence=int(10 * anyio.current_time()))
-                    await first.hear(Sighting(sequence, 0.0))
+                    first.handle_watch(message)
+                    instance = replace(INSTANCE, sequence=int(10 * anyio.current_time()))
+                    await first.hear(Sighting(instance, 0.0))
                     await anyio.sleep(0.1)
 
-            site.tasks.start_soon(hear)
+            site.tasks.start_soon(send_heartbeats)
             for _ in range(2):
                 await wait_for(lambda: second.fleet.get(INSTANCE.id) and second.list_gateways("z"))
-                # As after a cut that lasted longer than it remembers those who are silent.
+                # Simulates a partition that outlasts the retention of silent instances.
                 second.fleet.prune(anyio.current_time() + 1000)
                 second._gateways.clear()
 
         run_site(body)
 
-    def test_a_leave_is_acknowledged_when_another_coordinator_has_it(self) -> None:
+    def test_departure_is_acknowledged_once_another_coordinator_has_it(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             first, second = site.get(names[0]), site.get(names[1])
             await wait_for(lambda: len(first.list_coordinators()) == 3)
@@ -286,7 +289,7 @@
 
         run_site(body)
 
-    def test_a_leave_that_nobody_else_hears_is_not_acknowledged(self) -> None:
+    def test_departure_that_no_peer_receives_is_not_acknowledged(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             first = site.get(names[0])
             await wait_for(lambda: len(first.list_coordinators()) == 3)
@@ -300,20 +303,20 @@
 
         run_site(body)
 
-    def test_a_watch_is_told_what_changed_and_news_of_upstreams_is_gathered(self) -> None:
+    def test_watch_returns_changes_and_batches_fleet_changes(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             coordinator, links = site.get(names[0]), ChannelCalls("secret")
             presence = coordinator.presence
 
             async def watch(epoch: str, revision: int, loads: bool) -> WatchAnswer:
                 notice = GatewayNotice("10.0.0.1:80", "z", "r", True)
-                asked = WatchRequest(notice, epoch, revision, 1, (), 2.0, GATHER_SECONDS, loads)
+                message = WatchRequest(notice, epoch, revision, 1, (), 2.0, GATHER_SECONDS, loads)
                 url = f"http://{names[0]}/site/watch"
-                answer = await links.call(url, encode(asked), WatchAnswer)
+                answer = await links.call(url, encode(message), WatchAnswer)
                 assert isinstance(answer, WatchAnswer), answer
                 return answer
 
-            async def join_two() -> None:
+            async def add_two_instances() -> None:
                 for name in ("i-2", "i-3"):
                     await anyio.sleep(GATHER_SECONDS / 3)
                     await presence.hear(Sighting(replace(INSTANCE, id=name), 0.0))
@@ -323,16 +326,16 @@
             self.assertEqual([s.instance.id for s in first.sightings], ["i-1"])
             self.assertEqual(first.loads, ())
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(join_two)
+                tasks.start_soon(add_two_instances)
                 second = await watch(first.epoch, first.revision, False)
-            # Both came in one answer, without the one that was known.
+            # Both joins are in one answer, without the instance that was already known.
             self.assertEqual([s.instance.id for s in second.sightings], ["i-2", "i-3"])
             self.assertIsNone(second.loads)
             self.assertEqual(set(second.ages), {"i-1", "i-2", "i-3"})
 
         run_site(body)
 
-    def test_the_leader_names_engines_once_it_has_heard_the_gateways(self) -> None:
+    def test_leader_places_requests_once_gateways_reported_load(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             calls = ChannelCalls("secret")
             await self.save(site.get(names[0]), 4)
@@ -342,23 +345,23 @@
             others = [name for name in names[:3] if name != leader.options.name]
             notice = GatewayNotice("10.0.0.1:80", "z", "r", True)
             leader.presence.fleet.note(Sighting(INSTANCE, 0.0), anyio.current_time())
-            asked = PlaceRequest(notice.address, "z", SERVICE, 100, 50, (), ())
+            message = PlaceRequest(notice.address, "z", SERVICE, 100, 50, (), ())
 
             async def place(name: str) -> object:
-                return await calls.call(f"http://{name}/site/place", encode(asked), PlaceAnswer)
+                return await calls.call(f"http://{name}/site/place", encode(message), PlaceAnswer)
 
-            # It was told by another coordinator of a gateway that it has not heard itself.
+            # Another coordinator reports a gateway whose load the leader doesn't know.
             leader.presence.take_share(ShareRequest(others[0], (notice,), ()))
             self.assertIsInstance(await place(leader.options.name), Failure)
             leader.presence.loads.note(notice.address, (), anyio.current_time())
             self.assertEqual(await place(leader.options.name), PlaceAnswer(INSTANCE.id))
-            refused = await place(others[0])
-            assert isinstance(refused, Failure)
-            self.assertIs(refused.kind, FailureKind.NOT_LEADER)
+            refusal = await place(others[0])
+            assert isinstance(refusal, Failure)
+            self.assertIs(refusal.kind, FailureKind.NOT_LEADER)
 
         run_site(body)
 
-    def test_gateways_follow_and_are_named_until_they_drain(self) -> None:
+    def test_gateways_apply_changes_and_are_listed_until_they_drain(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             options = GatewayOptions("10.0.0.1:80", "z", "r", site.seeds, 1.0, 0.2, 30, 10.0)
             gateway = Gateway(options, FakeDispatcher(), Random())
@@ -372,17 +375,20 @@
             await wait_for(lambda: gateway.fleet.list_ready("s"))
             await site.get(names[2]).presence.part("i")
             await wait_for(lambda: not gateway.fleet.list_ready("s"))
-            # Its clients have nowhere else to go, until another gateway says that it takes some.
+            # No other gateway accepts clients until one registers.
             await wait_for(lambda: gateway.others == 0)
             other = Gateway(replace(options, address="10.0.0.2:80"), FakeDispatcher(), Random())
             site.tasks.start_soon(Watcher(other, ChannelCalls("secret"), parse).run)
             await wait_for(lambda: gateway.others == 1)
-            lookups = [site.get(n).presence.find_lookup_life for n in names[:3]]
-            self.assertEqual({life() for life in lookups}, {LOOKUP_KEPT_SECONDS})
+            lookup_getters = [site.get(n).presence.find_lookup_life for n in names[:3]]
+            self.assertEqual({getter() for getter in lookup_getters}, {LOOKUP_KEPT_SECONDS})
             other.serving = False
             await wait_for(lambda: gateway.others == 0)
-            # Clients ask anew sooner, so that those it refuses do not come to the next that drains.
-            await wait_for(lambda: {life() for life in lookups} == {LOOKUP_CHANGING_SECONDS})
+            # While a gateway drains, clients cache lookups for a shorter time, so that those which
+            # it refuses don't turn to one that drains next.
+            await wait_for(
+                lambda: {getter() for getter in lookup_getters} == {LOOKUP_CHANGING_SECONDS}
+            )
             gateway.serving = False
             watcher.tell_now()
             await wait_for(
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""Tests of which coordinators a gateway asks, and how often."""
+"""Tests of a gateway's choice of coordinators to watch, and of the load exchange interval."""
 
 import unittest
 from typing import Any
@@ -24,51 +24,57 @@
 LEADER = COORDINATORS[5]
 
 
-class WaitTest(unittest.TestCase):
-    def test_few_gateways_exchange_loads_at_the_full_rate(self) -> None:
+class LoadExchangeIntervalTest(unittest.TestCase):
+    def test_few_gateways_use_the_shortest_interval(self) -> None:
         for gateways in (1, 12, WATCH_FAST_GATEWAYS):
             self.assertEqual(find_load_exchange_seconds(gateways), WATCH_FAST_SECONDS)
 
-    def test_the_rate_of_all_together_stays_bounded_until_they_ask_slowly(self) -> None:
-        most = WATCH_FAST_GATEWAYS / WATCH_FAST_SECONDS
+    def test_total_rate_is_bounded_until_the_longest_interval(self) -> None:
+        max_rate = WATCH_FAST_GATEWAYS / WATCH_FAST_SECONDS
         for gateways in (25, 67, 90):
-            self.assertLessEqual(gateways / find_load_exchange_seconds(gateways), most + 1e-9)
+            self.assertLessEqual(gateways / find_load_exchange_seconds(gateways), max_rate + 1e-9)
         self.assertEqual(find_load_exchange_seconds(1000), WATCH_SLOW_SECONDS)
 
-    def test_no_gateway_seems_dead_between_two_questions(self) -> None:
+    def test_longest_interval_is_below_the_gateway_timeout(self) -> None:
         self.assertLess(find_load_exchange_seconds(1000), GATEWAY_SILENT_SECONDS)
 
 
-class Coordinators:
-    """Answers watches; the leader can't be reached at first.
+class FakeCoordinators:
+    """Answers watches; the leader is unreachable at first.
 
-    :param silent: seconds for which it can't.
+    :param unreachable_seconds: seconds for which the leader is unreachable.
     """
 
     token = "t"
 
-    def __init__(self, silent: float) -> None:
-        self.until = anyio.current_time() + silent
-        self.asked: list[str] = []
+    def __init__(self, unreachable_seconds: float) -> None:
+        self.reachable_at = anyio.current_time() + unreachable_seconds
+        self.called: list[str] = []
 
     async def call(
         self, url: str, body: bytes, shape: Any, read_seconds: float | None = None
     ) -> Any:
         name = url.split("/")[2]
-        self.asked.append(name)
-        if name == LEADER and anyio.current_time() < self.until:
+        self.called.append(name)
+        if name == LEADER and anyio.current_time() < self.reachable_at:
             return Failure(FailureKind.UNREACHABLE, "refused")
         await anyio.sleep(0.5)
         return WatchAnswer("e", 1, COORDINATORS, LEADER, 0, None, (), {}, None, 71)
 
 
 class LeaderTest(unittest.TestCase):
-    def watch(self, silent: float, seconds: float) -> tuple[str | None, Coordinators]:
-        """Return the leader as a gateway knows it after some time, and what was asked."""
+    def watch(
+        self, unreachable_seconds: float, seconds: float
+    ) -> tuple[str | None, FakeCoordinators]:
+        """Return the leader that a gateway watches after some time, and the fake coordinators.
 
-        async def main() -> tuple[str | None, Coordinators]:
+        :param unreachable_seconds: seconds for which the leader is unreachable.
+        :param seconds: length of the simulated run.
+        """
+
+        async def main() -> tuple[str | None, FakeCoordinators]:
             gateway = make_gateway(FakeDispatcher(), None, anyio.current_time())
-            calls = Coordinators(silent)
+            calls = FakeCoordinators(unreachable_seconds)
             watcher = Watcher(gateway, calls, parse)
             watcher.replace_seeds(COORDINATORS)
             async with anyio.create_task_group() as tasks:
@@ -79,11 +85,11 @@
 
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_a_leader_that_failed_once_is_watched_again(self) -> None:
+    def test_leader_is_watched_again_after_a_failure(self) -> None:
         leader, _ = self.watch(1.0, 1.0 + LEADER_AGAIN_SECONDS + 2.0)
         self.assertEqual(leader, LEADER)
 
-    def test_one_that_can_t_be_reached_is_tried_seldom(self) -> None:
+    def test_unreachable_leader_is_retried_rarely(self) -> None:
         leader, calls = self.watch(1000.0, 20.0)
         self.assertIsNone(leader)
-        self.assertLessEqual(calls.asked.count(LEADER), 20.0 / LEADER_AGAIN_SECONDS + 1)
+        self.assertLessEqual(calls.called.count(LEADER), 20.0 / LEADER_AGAIN_SECONDS + 1)
