--- a/src/daleroad/claims.py
+++ b/src/daleroad/claims.py
@@ -1,7 +1,7 @@
-"""Claims of requests that may not be repeated, as a deterministic state driven by a log.
+"""Replicated state machine for the claims of requests that may not be repeated.
 
-A claim is committed before its request is dispatched. It is settled by the entry that holds it,
-or by another one that has the upstream's word that the generation never ran and never will.
+A claim is committed before its request is dispatched. The entry that holds it settles it; another
+entry may release it once the upstream confirms that the generation never ran and will be refused.
 """
 
 from dataclasses import dataclass, field, replace
@@ -14,7 +14,7 @@
 
 
 class ClaimState(StrEnum):
-    """What is known of a claimed request."""
+    """State of a claimed request."""
 
     RUNNING = "running"
     DONE = "done"
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """A request that may not be repeated, and the one dispatch that is allowed for it.
+    """A request that may not be repeated, and the only dispatch allowed for it.
 
-    :param digest: hash of the request, to tell another request under the same key.
+    :param digest: hash of the request, to detect a different request with the same key.
     :param at: seconds since the epoch on the proposing entry's clock.
-    :param answer: the recorded answer once done, if it was small enough.
+    :param answer: the recorded answer once done; empty if it was too large.
     """
 
     organisation: str
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True)
 class Acquire:
-    """Claim a key, if nobody has."""
+    """Claim a key that is not claimed yet."""
 
     claim: Claim
 
 
 @dataclass(frozen=True)
 class Settle:
-    """Record how a claimed request ended, if the claim is still of this generation."""
+    """Record how a claimed request ended, if this generation still holds the claim."""
 
     organisation: str
     key: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Release:
-    """Forget a claim whose generation is known never to run."""
+    """Remove a claim whose generation has not run and never will."""
 
     organisation: str
     key: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class Look:
-    """Ask for the claim that stands, without any change."""
+    """Read the current claim of a key."""
 
     organisation: str
     key: str
@@ -83,9 +83,10 @@
 
 @dataclass(frozen=True)
 class ClaimOutcome:
-    """The claim that stands after a command, or why there is none.
+    """Result of a command: the current claim, or why the command failed.
 
-    :param acquired: whether the command's own claim stands.
+    :param acquired: whether the command's generation holds the claim, or after a release, whether
+        the key is unclaimed.
     """
 
     acquired: bool
@@ -100,8 +101,8 @@
 class ClaimJournal:
     """All claims of one shard, oldest first.
 
-    :param most: claims remembered at most.
-    :param keep_seconds: how long a settled claim is remembered.
+    :param most: maximum number of claims.
+    :param keep_seconds: retention of settled claims.
     """
 
     most: int = CLAIM_MOST
@@ -109,10 +110,10 @@
     claims: dict[tuple[str, str], Claim] = field(default_factory=dict)
 
     def apply_payload(self, index: int, payload: str) -> Any:
-        """Apply a committed command given as text.
+        """Apply a committed command.
 
         :param index: its index in the log.
-        :param payload: the command.
+        :param payload: the encoded command.
         """
         command = decode(ClaimCommand, payload)
         if isinstance(command, Failure):
@@ -120,7 +121,7 @@
         return self.apply(command)
 
     def apply(self, command: ClaimCommand) -> ClaimOutcome:
-        """Apply one command and return the claim that stands.
+        """Apply one command and return its outcome.
 
         :param command: the command.
         """
@@ -135,72 +136,77 @@
                 return self._look(command)
 
     def dump(self) -> str:
-        """Return the claims as text."""
+        """Serialise all claims."""
         return encode(tuple(self.claims.values())).decode()
 
     def load(self, text: str) -> None:
-        """Replace the claims by dumped ones.
+        """Replace all claims with those of a dump.
 
-        :param text: what :meth:`dump` gave.
+        :param text: output of :meth:`dump`, or empty.
         """
         loaded: tuple[Claim, ...] = decode(tuple[Claim, ...], text) if text else ()
         self.claims = {(claim.organisation, claim.key): claim for claim in loaded}
 
     def _acquire(self, claim: Claim) -> ClaimOutcome:
         self._expire(claim.at)
-        slot = (claim.organisation, claim.key)
-        known = self.claims.get(slot)
-        if known is None and len(self.claims) >= self.most:
-            failure = Failure(FailureKind.OVERLOADED, "the claim journal is full", Ran.NO, 60.0)
+        claim_key = (claim.organisation, claim.key)
+        existing = self.claims.get(claim_key)
+        if existing is None and len(self.claims) >= self.most:
+            failure = Failure(
+                FailureKind.OVERLOADED,
+                "the claim journal has reached its maximum size",
+                Ran.NO,
+                60.0,
+            )
             return ClaimOutcome(False, None, failure)
-        if known is None:
-            self.claims[slot] = claim
+        if existing is None:
+            self.claims[claim_key] = claim
             return ClaimOutcome(True, claim)
-        if known.digest != claim.digest:
-            return _conflict()
-        return ClaimOutcome(known.generation == claim.generation, known)
+        if existing.digest != claim.digest:
+            return _make_conflict()
+        return ClaimOutcome(existing.generation == claim.generation, existing)
 
     def _look(self, command: Look) -> ClaimOutcome:
-        known = self.claims.get((command.organisation, command.key))
-        if known is not None and known.digest != command.digest:
-            return _conflict()
-        return ClaimOutcome(False, known)
+        existing = self.claims.get((command.organisation, command.key))
+        if existing is not None and existing.digest != command.digest:
+            return _make_conflict()
+        return ClaimOutcome(False, existing)
 
     def _settle(self, command: Settle) -> ClaimOutcome:
-        slot = (command.organisation, command.key)
-        known = self.claims.get(slot)
-        if known is None or known.generation != command.generation:
-            return ClaimOutcome(False, known)
-        if known.state is ClaimState.DONE:
-            return ClaimOutcome(True, known)
-        settled = replace(known, state=command.state, answer=command.answer, at=command.at)
-        # A settled claim moves to the young end, so that expiry may stop at the first to keep.
-        del self.claims[slot]
-        self.claims[slot] = settled
+        claim_key = (command.organisation, command.key)
+        existing = self.claims.get(claim_key)
+        if existing is None or existing.generation != command.generation:
+            return ClaimOutcome(False, existing)
+        if existing.state is ClaimState.DONE:
+            return ClaimOutcome(True, existing)
+        settled = replace(existing, state=command.state, answer=command.answer, at=command.at)
+        # A settled claim moves to the end, so that expiry can stop at the first claim to retain.
+        del self.claims[claim_key]
+        self.claims[claim_key] = settled
         return ClaimOutcome(True, settled)
 
     def _release(self, command: Release) -> ClaimOutcome:
-        slot = (command.organisation, command.key)
-        known = self.claims.get(slot)
-        if known is None or known.generation != command.generation:
-            return ClaimOutcome(known is None, known)
-        if known.state is not ClaimState.RUNNING:
-            return ClaimOutcome(False, known)
-        del self.claims[slot]
+        claim_key = (command.organisation, command.key)
+        existing = self.claims.get(claim_key)
+        if existing is None or existing.generation != command.generation:
+            return ClaimOutcome(existing is None, existing)
+        if existing.state is not ClaimState.RUNNING:
+            return ClaimOutcome(False, existing)
+        del self.claims[claim_key]
         return ClaimOutcome(True)
 
     def _expire(self, now: float) -> None:
-        """Forget claims past their time; those whose end is not known wait as long again."""
+        """Remove expired claims; running ones are retained for twice as long."""
         while self.claims:
-            slot, oldest = next(iter(self.claims.items()))
+            claim_key, oldest = next(iter(self.claims.items()))
             keep = self.keep_seconds
             if oldest.state is ClaimState.RUNNING:
                 keep *= 2
             if oldest.at + keep > now:
                 return
-            del self.claims[slot]
+            del self.claims[claim_key]
 
 
-def _conflict() -> ClaimOutcome:
-    reason = "this key was used for another request"
+def _make_conflict() -> ClaimOutcome:
+    reason = "this idempotency key was used for a different request"
     return ClaimOutcome(False, None, Failure(FailureKind.KEY_CONFLICT, reason))
--- a/src/daleroad/ending.py
+++ b/src/daleroad/ending.py
@@ -1,4 +1,4 @@
-"""What a process still answers when it must end: cut off from inside, so that callers are told."""
+"""Cancels open requests at process shutdown, so that their callers receive a typed failure."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -7,26 +7,26 @@
 
 from daleroad.errors import Failure, FailureKind, Ran
 
-_RETRY_SECONDS = 0.1
-"""When to come back after a process ended; others serve, so nearly at once."""
+_RETRY_AFTER_SECONDS = 0.1
+"""Short, since other instances are still serving."""
 
 
 class Ending:
-    """The end of one process's answers."""
+    """Cancels the registered scopes of one process when it shuts down."""
 
     def __init__(self) -> None:
         self._scopes: set[CancelScope] = set()
         self.is_over = False
 
     def end(self) -> None:
-        """Cut off all that is watched, now and from now on."""
+        """Cancel all current scopes, and each later one on entry."""
         self.is_over = True
         for scope in self._scopes:
             scope.cancel()
 
     @contextmanager
     def watch(self) -> Iterator[CancelScope]:
-        """Let what runs inside be cut off at the end; the scope given tells whether it was."""
+        """Run a block in a scope that is cancelled at shutdown; the scope tells whether it was."""
         with CancelScope() as scope:
             self._scopes.add(scope)
             if self.is_over:
@@ -38,8 +38,13 @@
 
 
 def make_leaving(ran: Ran) -> Failure:
-    """Return the failure of a request that a process's end cuts off.
+    """Return the failure of a request that is refused or cancelled because of shutdown.
 
-    :param ran: whether it ran.
+    :param ran: whether the request ran.
     """
-    return Failure(FailureKind.DRAINING, "this process ends; use another", ran, _RETRY_SECONDS)
+    return Failure(
+        FailureKind.DRAINING,
+        "this process is shutting down; retry on another one",
+        ran,
+        _RETRY_AFTER_SECONDS,
+    )
--- a/src/daleroad/finishing.py
+++ b/src/daleroad/finishing.py
@@ -1,30 +1,32 @@
-"""By when a generation must have begun to be over before its entry ends. Pure."""
+"""Calculates the latest start at which a generation finishes before its entry shuts down."""
 
 from daleroad.defaults import DRAIN_TOKEN_SECONDS, STOP_BEGIN_SECONDS
 from daleroad.lengths import Lengths
 
-_LONG = 0.95
-"""Quantile of the lengths seen that counts as the longest to expect."""
+_LENGTH_QUANTILE = 0.95
+"""Quantile of recent output lengths taken as the expected maximum."""
 
 
-def expect_tokens(lengths: Lengths, route: str, model: str, most: int) -> float:
-    """Return how long an output may get, in tokens; its limit where too few were seen.
+def expect_tokens(lengths: Lengths, route: str, model: str, max_tokens: int) -> float:
+    """Return the expected maximum output length in tokens.
 
-    :param lengths: what was seen.
+    This is the request's own limit where too few outputs were recorded.
+
+    :param lengths: recent output lengths.
     :param route: the route.
     :param model: the model version.
-    :param most: limit of the output in tokens.
+    :param max_tokens: the request's output limit in tokens.
     """
-    seen = lengths.find_quantile(route, model, _LONG)
-    return most if seen is None else min(seen, most)
+    seen = lengths.find_quantile(route, model, _LENGTH_QUANTILE)
+    return max_tokens if seen is None else min(seen, max_tokens)
 
 
-def find_latest_start(ends_at: float, allowed: float, tokens: float) -> float:
-    """Return by when a generation must have its permit to be over in time, also if it is slow.
+def find_latest_start(ends_at: float, first_token_seconds: float, tokens: float) -> float:
+    """Return the latest time of the permit at which even a slow generation finishes in time.
 
-    :param ends_at: when its entry ends.
-    :param allowed: seconds that it has to its first token.
-    :param tokens: how long its output may get.
+    :param ends_at: when the entry shuts down.
+    :param first_token_seconds: the request's limit from arrival to first token.
+    :param tokens: expected maximum output length.
     """
-    begin = min(allowed, STOP_BEGIN_SECONDS)
+    begin = min(first_token_seconds, STOP_BEGIN_SECONDS)
     return ends_at - begin - tokens * DRAIN_TOKEN_SECONDS
--- a/src/daleroad/generations.py
+++ b/src/daleroad/generations.py
@@ -1,4 +1,4 @@
-"""A generation request from job to answer: place, permit, claim, dispatch, deliver."""
+"""Serves generation requests on an entry, from upstream selection to the end of the answer."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from contextlib import aclosing
@@ -29,13 +29,13 @@
 from daleroad.serving import Answer, Request, Response, Stream, make_error
 from daleroad.stewardship import Stewardship
 
-_TRY_MOST = 3
-_PASSING = (FailureKind.CONFLICT, FailureKind.UNREACHABLE, FailureKind.DRAINING)
+_MAX_CANDIDATES = 3
+_TRANSIENT_KINDS = (FailureKind.CONFLICT, FailureKind.UNREACHABLE, FailureKind.DRAINING)
 _GENERATION_HEADER = "x-generation"
 
 
 @dataclass(frozen=True)
-class Placed:
+class Permit:
     """A permit for a generation on an upstream."""
 
     upstream: Upstream
@@ -43,29 +43,32 @@
 
 
 @dataclass
-class Flow:
-    """A generation whose first part has come.
+class ActiveGeneration:
+    """A generation whose first part has been received.
 
-    :param placed: nothing for a stream that was only resumed.
+    :param permit: the permit, or ``None`` for a generation that this request did not dispatch.
+    :param job: the request, or ``None`` when resumed with ``Last-Event-ID``.
+    :param slot: identifies the request to the organisation's limits.
+    :param answer: raw events received so far, kept for the claim.
     """
 
     generation: str
     first: Part
     parts: AsyncGenerator[Part, None]
     relay: Relay
-    placed: Placed | None = None
+    permit: Permit | None = None
     job: Job | None = None
     slot: str = ""
     answer: list[bytes] = field(default_factory=list)
 
 
 class Generations:
-    """Serves generation requests of one entry.
+    """Serves the generation requests that one entry receives.
 
     :param env: the entry's environment.
-    :param stewardship: gives permits.
-    :param limits: keeps the limits of organisations.
-    :param holding: knows which requests reach no upstream.
+    :param stewardship: obtains and returns permits.
+    :param limits: enforces the limits of organisations.
+    :param holding: blocks requests suspected of crashing upstreams.
     """
 
     def __init__(
@@ -76,12 +79,12 @@
         self._limits = limits
         self._stewardship = stewardship
         self._claims = Claims(env)
-        self._placing: dict[anyio.CancelScope, Job] = {}
+        self._pending_jobs: dict[anyio.CancelScope, Job] = {}
 
     async def serve(self, request: Request) -> Answer:
-        """Answer one request for a generation, new or resumed.
+        """Handle a request for a new generation, or for the rest of an earlier one.
 
-        :param request: the request.
+        :param request: a request with ``Last-Event-ID`` resumes a generation.
         """
         last = request.headers.get("last-event-id")
         if last is not None:
@@ -90,27 +93,29 @@
         job = parse_job(self._env.directory, request, now)
         if isinstance(job, Failure):
             return self._refuse("", job)
-        if not self._can_be_over(job):
-            return await self._refuse_early(job, make_leaving(Ran.NO))
+        if not self._can_finish_in_time(job):
+            return await self._refuse_before_placing(job, make_leaving(Ran.NO))
         slot = uuid4().hex
         refused = await self._limits.take(job.organisation, slot)
         if refused is not None:
-            return await self._refuse_early(job, refused)
-        flow: Flow | Failure = Failure(FailureKind.UNREACHABLE, "ended early", Ran.UNKNOWN)
+            return await self._refuse_before_placing(job, refused)
+        active: ActiveGeneration | Failure = Failure(
+            FailureKind.UNREACHABLE, "request handling was interrupted", Ran.UNKNOWN
+        )
         try:
-            flow = await self._start(job)
+            active = await self._start(job)
         finally:
-            if isinstance(flow, Failure):
+            if isinstance(active, Failure):
                 self._env.spawn(self._limits.release, job.organisation, slot)
-        if isinstance(flow, Failure):
-            return self._refuse(job.route.name, flow)
-        flow.slot = slot
+        if isinstance(active, Failure):
+            return self._refuse(job.route.name, active)
+        active.slot = slot
         waited = anyio.current_time() - now
         self._env.metrics.first_token.labels(str(job.route.urgent)).observe(waited)
-        return await self._deliver(flow, job.completion.stream)
+        return await self._deliver(active, job.completion.stream)
 
-    async def _refuse_early(self, job: Job, refused: Failure) -> Answer:
-        found = await self._refuse_unplaced(job, refused)
+    async def _refuse_before_placing(self, job: Job, refused: Failure) -> Answer:
+        found = await self._refuse_without_permit(job, refused)
         if isinstance(found, Failure):
             return self._refuse(job.route.name, found)
         return await self._deliver(found, job.completion.stream)
@@ -120,11 +125,11 @@
         log_event(Event.REQUEST_REFUSED, route=route, kind=failure.kind, ran=failure.ran)
         return failure
 
-    # The entry's end.
+    # Shutdown of the entry.
 
     def note_end(self) -> None:
-        """Let what waits for a permit wait no longer than until the entry's end allows."""
-        for scope, job in self._placing.items():
+        """Limit pending waits for permits to what the shutdown deadline allows."""
+        for scope, job in self._pending_jobs.items():
             scope.deadline = self._find_latest_start(job)
 
     def _find_latest_start(self, job: Job) -> float:
@@ -133,86 +138,86 @@
         tokens = expect_tokens(env.lengths, job.route.name, job.model, most)
         return find_latest_start(env.ends_at, job.deadline_at - job.arrived_at, tokens)
 
-    def _can_be_over(self, job: Job) -> bool:
+    def _can_finish_in_time(self, job: Job) -> bool:
         return anyio.current_time() < self._find_latest_start(job)
 
-    async def _place_in_time(self, job: Job, avoid: set[str]) -> Placed | Failure:
-        """Place a job as long as it can be over before the entry ends."""
-        placed: Placed | Failure = make_leaving(Ran.NO)
+    async def _obtain_permit_in_time(self, job: Job, avoid: set[str]) -> Permit | Failure:
+        """Obtain a permit, unless the generation could not finish before the entry shuts down."""
+        permit: Permit | Failure = make_leaving(Ran.NO)
         scope = anyio.CancelScope(deadline=self._find_latest_start(job))
-        self._placing[scope] = job
+        self._pending_jobs[scope] = job
         try:
             with scope:
-                placed = await self._place(job, avoid)
+                permit = await self._obtain_permit(job, avoid)
         finally:
-            del self._placing[scope]
-        if self._can_be_over(job):
-            return placed
-        if isinstance(placed, Placed):
-            await self._end(placed, 0, started=False, ok=False)
+            del self._pending_jobs[scope]
+        if self._can_finish_in_time(job):
+            return permit
+        if isinstance(permit, Permit):
+            await self._return_permit(permit, 0, started=False, ok=False)
         return make_leaving(Ran.NO)
 
     # From job to first token.
 
-    async def _start(self, job: Job) -> Flow | Failure:
-        """Dispatch a job; it may move to other upstreams until its first token."""
+    async def _start(self, job: Job) -> ActiveGeneration | Failure:
+        """Dispatch a job, retrying on other upstreams until its first token."""
         self._env.budget.note_try()
         ran = Ran.NO
         avoid: set[str] = set()
         attempt = 0
         while True:
-            held = self._holding.find_refusal(_find_fingerprint(job))
-            placed = held or await self._place_in_time(job, avoid)
-            if isinstance(placed, Failure):
-                return await self._refuse_unplaced(job, _worsen(placed, ran))
-            flow = await self._dispatch(job, placed)
-            if isinstance(flow, Flow):
-                return flow
-            if not job.route.repeatable and flow.ran is not Ran.NO:
-                return flow
-            if flow.kind not in (FailureKind.UPSTREAM_LOST, FailureKind.UPSTREAM_REFUSED):
-                return _worsen(flow, ran)
-            ran = flow.ran if flow.ran is not Ran.NO else ran
+            held = self._holding.find_refusal(_make_fingerprint(job))
+            permit = held or await self._obtain_permit_in_time(job, avoid)
+            if isinstance(permit, Failure):
+                return await self._refuse_without_permit(job, _include_earlier_ran(permit, ran))
+            active = await self._dispatch(job, permit)
+            if isinstance(active, ActiveGeneration):
+                return active
+            if not job.route.repeatable and active.ran is not Ran.NO:
+                return active
+            if active.kind not in (FailureKind.UPSTREAM_LOST, FailureKind.UPSTREAM_REFUSED):
+                return _include_earlier_ran(active, ran)
+            ran = active.ran if active.ran is not Ran.NO else ran
             late = anyio.current_time() >= job.deadline_at
             if late or not self._env.budget.take():
-                return _worsen(flow, ran)
-            avoid.add(placed.upstream.name)
-            log_event(Event.REQUEST_MOVED, route=job.route.name, away=placed.upstream.name)
+                return _include_earlier_ran(active, ran)
+            avoid.add(permit.upstream.name)
+            log_event(Event.REQUEST_MOVED, route=job.route.name, away=permit.upstream.name)
             self._env.metrics.moved.inc()
             await anyio.sleep(get_backoff(attempt, self._env.random))
             attempt += 1
 
-    async def _place(self, job: Job, avoid: set[str]) -> Placed | Failure:
-        """Find an upstream and get a permit for it, while the membership settles if need be."""
+    async def _obtain_permit(self, job: Job, avoid: set[str]) -> Permit | Failure:
+        """Obtain a permit from one of the upstreams, retrying while the membership changes."""
         attempt = 0
         while True:
-            placed = await self._place_once(job, avoid)
-            # The steward changed or is not reached: the membership will tell of another.
-            if isinstance(placed, Placed) or placed.kind not in _PASSING:
-                return placed
+            permit = await self._try_candidates(job, avoid)
+            # If the steward changed or is unreachable, a membership update names its successor.
+            if isinstance(permit, Permit) or permit.kind not in _TRANSIENT_KINDS:
+                return permit
             if anyio.current_time() >= job.deadline_at:
-                reason = f"no steward answered: {placed.reason}"
+                reason = f"no permit before the deadline: {permit.reason}"
                 return Failure(FailureKind.NO_UPSTREAM, reason, retry_after=1.0)
             attempt += 1
             await anyio.sleep(get_backoff(attempt, self._env.random))
 
-    async def _place_once(self, job: Job, avoid: set[str]) -> Placed | Failure:
-        candidates = self._rank(job, avoid)
+    async def _try_candidates(self, job: Job, avoid: set[str]) -> Permit | Failure:
+        candidates = self._rank_upstreams(job, avoid)
         if not candidates:
-            reason = f"no upstream of {job.route.service} serves {job.model}"
+            reason = f"service {job.route.service} has no upstream that serves model {job.model}"
             return Failure(FailureKind.NO_UPSTREAM, reason, retry_after=2.0)
         best = candidates[0]
         least = float("inf")
-        for upstream in candidates[:_TRY_MOST]:
-            placed = await self._ask(job, upstream, wait=False)
-            if isinstance(placed, Placed) or placed.kind is not FailureKind.OVERLOADED:
-                return placed
-            if (placed.retry_after or 0.0) < least:
-                least = placed.retry_after or 0.0
+        for upstream in candidates[:_MAX_CANDIDATES]:
+            permit = await self._request_permit(job, upstream, wait=False)
+            if isinstance(permit, Permit) or permit.kind is not FailureKind.OVERLOADED:
+                return permit
+            if (permit.retry_after or 0.0) < least:
+                least = permit.retry_after or 0.0
                 best = upstream
-        return await self._ask(job, best, wait=True)
+        return await self._request_permit(job, best, wait=True)
 
-    def _rank(self, job: Job, avoid: set[str]) -> list[Upstream]:
+    def _rank_upstreams(self, job: Job, avoid: set[str]) -> list[Upstream]:
         env = self._env
         now = anyio.current_time()
         known = env.directory.list_upstreams(job.route.service, job.model)
@@ -224,54 +229,56 @@
 
         return rank_candidates(fresh or healthy or known, job.prefix, get_load, env.random)
 
-    async def _ask(self, job: Job, upstream: Upstream, wait: bool) -> Placed | Failure:
+    async def _request_permit(self, job: Job, upstream: Upstream, wait: bool) -> Permit | Failure:
         env = self._env
         secret = env.settings.cluster_secret
         generation = make_generation(upstream.name, job.organisation.name, secret)
-        # The steward forgets it by itself when it can't be over any more.
+        # With this deadline, the steward drops the work once it could not finish before shutdown.
         deadline_at = min(job.deadline_at, self._find_latest_start(job))
         work = make_work(replace(job, deadline_at=deadline_at), generation, anyio.current_time())
         answer = await self._stewardship.ask(upstream, work, wait)
         if isinstance(answer, PermitAnswer):
-            return Placed(upstream, work)
+            return Permit(upstream, work)
         return answer
 
-    async def _dispatch(self, job: Job, placed: Placed) -> Flow | Failure:
-        """Claim the key if need be, send the work and wait for its first token."""
+    async def _dispatch(self, job: Job, permit: Permit) -> ActiveGeneration | Failure:
+        """Claim the key of non-repeatable work, send the work and wait for its first token."""
         if job.route.repeatable:
-            return await self._open(job, placed)
-        generation = placed.work.generation
+            return await self._send_work(job, permit)
+        generation = permit.work.generation
         name = job.organisation.name
         outcome = await self._claims.acquire(
-            name, job.key, job.digest, placed.upstream.name, generation
+            name, job.key, job.digest, permit.upstream.name, generation
         )
         refused = outcome if isinstance(outcome, Failure) else outcome.failure
         if refused is not None:
-            await self._end(placed, 0, started=False, ok=False)
+            await self._return_permit(permit, 0, started=False, ok=False)
             return refuse_unclaimed(refused)
         assert not isinstance(outcome, Failure)
         if not outcome.acquired and outcome.claim is not None:
-            await self._end(placed, 0, started=False, ok=False)
-            return await self._attach(job, outcome.claim)
-        flow = await self._open(job, placed)
-        if isinstance(flow, Failure):
-            return await self._settle_failed(job, placed, flow)
-        return flow
-
-    async def _refuse_unplaced(self, job: Job, failure: Failure) -> Flow | Failure:
-        """Refuse work without a permit; an earlier try under its key may have run, though."""
+            await self._return_permit(permit, 0, started=False, ok=False)
+            return await self._attach_to_claim(job, outcome.claim)
+        active = await self._send_work(job, permit)
+        if isinstance(active, Failure):
+            return await self._settle_failed_claim(job, permit, active)
+        return active
+
+    async def _refuse_without_permit(
+        self, job: Job, failure: Failure
+    ) -> ActiveGeneration | Failure:
+        """Refuse work that has no permit, after checking for an earlier attempt with its key."""
         if job.route.repeatable:
             return failure
         outcome = await self._claims.look(job.organisation.name, job.key, job.digest)
         if isinstance(outcome, Failure):
-            reason = f"{failure.reason}; whether an earlier try ran is not known"
+            reason = f"{failure.reason}; it is unknown whether an earlier attempt ran"
             return Failure(failure.kind, reason, Ran.UNKNOWN, failure.retry_after)
         if outcome.failure is not None:
             return outcome.failure
-        return await self._attach(job, outcome.claim) if outcome.claim else failure
+        return await self._attach_to_claim(job, outcome.claim) if outcome.claim else failure
 
-    async def _open(self, job: Job, placed: Placed) -> Flow | Failure:
-        work, upstream = placed.work, placed.upstream
+    async def _send_work(self, job: Job, permit: Permit) -> ActiveGeneration | Failure:
+        work, upstream = permit.work, permit.upstream
         order = EngineCompletion(
             work.generation,
             job.model,
@@ -285,26 +292,28 @@
         parts = relay.start(order)
         first = await anext(parts)
         ok = not isinstance(first, Broken)
-        self._note_health(upstream, ok)
+        self._record_health(upstream, ok)
         if isinstance(first, Broken):
             await parts.aclose()
-            return await self._give_up(job, placed, first.failure)
-        return Flow(work.generation, first, parts, relay, placed, job)
+            return await self._cancel_failed_work(job, permit, first.failure)
+        return ActiveGeneration(work.generation, first, parts, relay, permit, job)
 
-    async def _give_up(self, job: Job, placed: Placed, failure: Failure) -> Failure:
-        """Make sure that work without a first token won't run any more; say whether it did."""
+    async def _cancel_failed_work(self, job: Job, permit: Permit, failure: Failure) -> Failure:
+        """Cancel work that yielded no token; the returned failure says whether it may have run."""
         ran = failure.ran
         if ran is not Ran.NO:
-            self._note_lost(job, placed, failure)
-            known = await forbid(self._env.links, placed.upstream.address, placed.work.generation)
+            self._record_loss(job, permit, failure)
+            known = await forbid(self._env.links, permit.upstream.address, permit.work.generation)
             unseen = not isinstance(known, Failure) and known.state == "unseen"
             ran = Ran.NO if unseen else Ran.UNKNOWN
-        await self._end(placed, 0, started=False, ok=False)
+        await self._return_permit(permit, 0, started=False, ok=False)
         return Failure(failure.kind, failure.reason, ran, failure.retry_after or 1.0)
 
-    async def _settle_failed(self, job: Job, placed: Placed, failure: Failure) -> Flow | Failure:
-        """Settle the claim of work that gave no token."""
-        generation = placed.work.generation
+    async def _settle_failed_claim(
+        self, job: Job, permit: Permit, failure: Failure
+    ) -> ActiveGeneration | Failure:
+        """Settle or release the claim of work that yielded no token."""
+        generation = permit.work.generation
         name = job.organisation.name
         if failure.ran is not Ran.NO:
             await self._claims.settle(name, job.key, generation, ClaimState.UNKNOWN, "")
@@ -312,49 +321,49 @@
         outcome = await self._claims.release(name, job.key, generation)
         if isinstance(outcome, Failure) or outcome.acquired or outcome.claim is None:
             return failure
-        # Another entry took the key over while this one was away.
-        return await self._attach(job, outcome.claim)
+        # Another entry has claimed the key in the meantime.
+        return await self._attach_to_claim(job, outcome.claim)
 
-    # Keys that were claimed before.
+    # Keys claimed by an earlier attempt.
 
-    async def _attach(self, job: Job, claim: Claim) -> Flow | Failure:
-        """Answer a request whose key was claimed by an earlier try."""
+    async def _attach_to_claim(self, job: Job, claim: Claim) -> ActiveGeneration | Failure:
+        """Replay or resume the generation of an earlier attempt with the same key."""
         match claim.state:
             case ClaimState.DONE if claim.answer:
-                return _replay(job, claim)
+                return _replay_answer(job, claim)
             case ClaimState.UNKNOWN:
-                reason = "an earlier try was lost; it is not known whether it ran"
+                reason = "an earlier attempt was lost; it is unknown whether it ran"
                 return Failure(FailureKind.ALREADY_RAN, reason, Ran.UNKNOWN)
         upstream = self._env.catalog.upstreams.get(claim.upstream)
         if upstream is None:
-            return self._refuse_attach(claim, "its upstream is gone")
+            return self._refuse_attach(claim, "its upstream is no longer a member")
         delivery = Delivery(claim.generation)
         relay = self._make_relay(upstream.address, delivery, job.route.urgent)
         parts = relay.resume()
         first = await anext(parts)
         if not isinstance(first, Broken):
-            return Flow(claim.generation, first, parts, relay, None, job)
+            return ActiveGeneration(claim.generation, first, parts, relay, None, job)
         await parts.aclose()
-        return await self._attach_failed(job, claim, upstream)
+        return await self._handle_failed_attach(job, claim, upstream)
 
-    async def _attach_failed(self, job: Job, claim: Claim, upstream: Upstream) -> Failure:
+    async def _handle_failed_attach(self, job: Job, claim: Claim, upstream: Upstream) -> Failure:
         if claim.state is ClaimState.DONE:
-            return self._refuse_attach(claim, "its answer is no longer kept")
+            return self._refuse_attach(claim, "its answer is no longer stored")
         known = await forbid(self._env.links, upstream.address, claim.generation)
         if isinstance(known, Failure):
-            reason = "an earlier try holds this key and its upstream does not answer"
+            reason = "an earlier attempt holds this key and its upstream does not respond"
             return Failure(FailureKind.KEY_RUNNING, reason, Ran.UNKNOWN, 2.0)
         if known.state == "unseen":
-            # The upstream's word: it never ran there and never will.
+            # The upstream never ran the generation and now refuses it.
             name = job.organisation.name
             await self._claims.release(name, job.key, claim.generation)
-            reason = "an earlier try never ran; send the request again"
+            reason = "an earlier attempt never ran; retry the request"
             return Failure(FailureKind.KEY_RUNNING, reason, Ran.NO, 0.5)
-        return self._refuse_attach(claim, "its stream can't be resumed")
+        return self._refuse_attach(claim, "its stream cannot be resumed")
 
     def _refuse_attach(self, claim: Claim, reason: str) -> Failure:
         ran = Ran.YES if claim.state is ClaimState.DONE else Ran.UNKNOWN
-        return Failure(FailureKind.ALREADY_RAN, f"an earlier try has this key; {reason}", ran)
+        return Failure(FailureKind.ALREADY_RAN, f"an earlier attempt holds this key; {reason}", ran)
 
     # From first token to end.
 
@@ -372,7 +381,9 @@
             return self._refuse(
                 "", Failure(failure.kind, failure.reason, Ran.PARTIAL, failure.retry_after)
             )
-        return await self._deliver(Flow(delivery.generation, first, parts, relay), stream=True)
+        return await self._deliver(
+            ActiveGeneration(delivery.generation, first, parts, relay), stream=True
+        )
 
     def _parse_resume(self, request: Request, last: str) -> tuple[Delivery, Upstream] | Failure:
         organisation: Organisation | Failure = identify(self._env.directory, request)
@@ -382,11 +393,11 @@
         secret = self._env.settings.cluster_secret
         name = get_upstream(generation, organisation.name, secret)
         if name is None or not index.isdigit():
-            reason = "Last-Event-ID is not a generation of this organisation"
+            reason = "Last-Event-ID does not identify a generation of this organisation"
             return Failure(FailureKind.BAD_REQUEST, reason)
         upstream = self._env.catalog.upstreams.get(name)
         if upstream is None:
-            reason = "the generation's upstream is gone"
+            reason = "the generation's upstream is no longer a member"
             return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.PARTIAL)
         return Delivery(generation, int(index) + 1), upstream
 
@@ -394,104 +405,104 @@
         env = self._env
         return Relay(env.links, address, delivery, env.settings.stall, urgent, env.random)
 
-    async def _deliver(self, flow: Flow, stream: bool) -> Answer:
-        headers = ((_GENERATION_HEADER, flow.generation),)
-        pieces = self._write(flow)
+    async def _deliver(self, active: ActiveGeneration, stream: bool) -> Answer:
+        headers = ((_GENERATION_HEADER, active.generation),)
+        pieces = self._stream_body(active)
         if stream:
             return Stream(pieces, headers=headers)
         async with aclosing(pieces):
-            return await _gather(flow, pieces, headers)
+            return await _collect_response(active, pieces, headers)
 
-    async def _write(self, flow: Flow) -> AsyncGenerator[bytes, None]:
-        """Yield what the caller gets, and settle everything at the end."""
+    async def _stream_body(self, active: ActiveGeneration) -> AsyncGenerator[bytes, None]:
+        """Yield the response body; clean up in the background when it ends or is cancelled."""
         env = self._env
         env.metrics.inflight.inc()
-        last: Part = flow.first
+        last: Part = active.first
         try:
-            async for part in _chain(flow):
+            async for part in _iterate_parts(active):
                 last = part
                 match part:
                     case Piece(raw, count):
-                        self._note_progress(flow, raw, count)
+                        self._record_progress(active, raw, count)
                         yield raw
                     case Ended(raw, _):
-                        flow.answer.append(raw)
+                        active.answer.append(raw)
                         yield raw
                     case Broken(failure):
                         yield make_error(failure)
         finally:
             env.metrics.inflight.dec()
-            env.metrics.resumed.inc(flow.relay.resumes)
-            env.inflight.pop(flow.generation, None)
-            env.spawn(self._finish, flow, last)
+            env.metrics.resumed.inc(active.relay.resumes)
+            env.inflight.pop(active.generation, None)
+            env.spawn(self._clean_up, active, last)
 
-    def _note_progress(self, flow: Flow, raw: bytes, count: int) -> None:
+    def _record_progress(self, active: ActiveGeneration, raw: bytes, count: int) -> None:
         self._env.metrics.tokens.inc(count)
-        flight = self._env.inflight.get(flow.generation)
+        flight = self._env.inflight.get(active.generation)
         if flight is not None:
             flight.produced += count
-        if flow.job is not None and not flow.job.route.repeatable:
-            flow.answer.append(raw)
+        if active.job is not None and not active.job.route.repeatable:
+            active.answer.append(raw)
 
-    async def _finish(self, flow: Flow, last: Part) -> None:
-        """Give the permit back, settle the claim, note the evidence."""
-        job = flow.job
+    async def _clean_up(self, active: ActiveGeneration, last: Part) -> None:
+        """Release limits and the permit, settle the claim and record the upstream's health."""
+        job = active.job
         if job is not None:
-            await self._limits.release(job.organisation, flow.slot)
-        tokens = flow.relay.delivery.next_index
+            await self._limits.release(job.organisation, active.slot)
+        tokens = active.relay.delivery.next_index
         whole = isinstance(last, Ended)
         end = "whole" if whole else "broken" if isinstance(last, Broken) else "left"
         self._env.metrics.accepted.labels(job.route.name if job else "", end).inc()
         if end == "broken":
-            log_event(Event.STREAM_ENDED, generation=flow.generation, tokens=tokens)
-        if flow.placed is not None and end != "left":
+            log_event(Event.STREAM_ENDED, generation=active.generation, tokens=tokens)
+        if active.permit is not None and end != "left":
             if end == "broken":
-                self._note_health(flow.placed.upstream, False)
+                self._record_health(active.permit.upstream, False)
                 if job is not None and isinstance(last, Broken):
-                    self._note_lost(job, flow.placed, last.failure)
-            await self._end(flow.placed, tokens, started=True, ok=whole)
+                    self._record_loss(job, active.permit, last.failure)
+            await self._return_permit(active.permit, tokens, started=True, ok=whole)
         if job is not None and whole:
-            self._holding.note_whole(_find_fingerprint(job))
+            self._holding.note_whole(_make_fingerprint(job))
         if job is not None and not job.route.repeatable and whole:
-            answer = b"".join(flow.answer)
+            answer = b"".join(active.answer)
             kept = answer.decode() if len(answer) <= CLAIM_ANSWER_BYTES else ""
             name = job.organisation.name
-            await self._claims.settle(name, job.key, flow.generation, ClaimState.DONE, kept)
+            await self._claims.settle(name, job.key, active.generation, ClaimState.DONE, kept)
 
-    async def _end(self, placed: Placed, tokens: int, started: bool, ok: bool) -> None:
-        self._env.inflight.pop(placed.work.generation, None)
-        end = PermitEnd(placed.upstream.name, placed.work.generation, tokens, started, ok)
+    async def _return_permit(self, permit: Permit, tokens: int, started: bool, ok: bool) -> None:
+        self._env.inflight.pop(permit.work.generation, None)
+        end = PermitEnd(permit.upstream.name, permit.work.generation, tokens, started, ok)
         await self._stewardship.end(end)
 
-    def _note_lost(self, job: Job, placed: Placed, failure: Failure) -> None:
+    def _record_loss(self, job: Job, permit: Permit, failure: Failure) -> None:
         if failure.kind is not FailureKind.UPSTREAM_LOST:
-            # It answered, or only its link is slow.
+            # The upstream refused the work or the stream stalled; neither is a crash.
             return
-        name = placed.upstream.name
-        self._holding.note_lost(_find_fingerprint(job), job.organisation, job.route, name)
+        name = permit.upstream.name
+        self._holding.note_lost(_make_fingerprint(job), job.organisation, job.route, name)
 
-    def _note_health(self, upstream: Upstream, ok: bool) -> None:
+    def _record_health(self, upstream: Upstream, ok: bool) -> None:
         env = self._env
         among = len(env.directory.list_upstreams(upstream.service, ""))
         if env.ejector.note(upstream.name, ok, among, anyio.current_time()):
             log_event(Event.UPSTREAM_EJECTED, upstream=upstream.name)
 
 
-def _find_fingerprint(job: Job) -> str:
+def _make_fingerprint(job: Job) -> str:
     return find_call_fingerprint(job.organisation, job.route, "", job.digest.encode())
 
 
-async def _chain(flow: Flow) -> AsyncIterator[Part]:
-    yield flow.first
-    async with aclosing(flow.parts) as parts:
+async def _iterate_parts(active: ActiveGeneration) -> AsyncIterator[Part]:
+    yield active.first
+    async with aclosing(active.parts) as parts:
         async for part in parts:
             yield part
 
 
-def _replay(job: Job, claim: Claim) -> Flow:
-    """Return the recorded answer of a claim as a flow."""
+def _replay_answer(job: Job, claim: Claim) -> ActiveGeneration:
+    """Return a generation that replays the answer stored with a claim."""
 
-    async def get_nothing() -> AsyncGenerator[Part, None]:
+    async def iterate_nothing() -> AsyncGenerator[Part, None]:
         nothing: tuple[Part, ...] = ()
         for part in nothing:
             yield part
@@ -499,20 +510,20 @@
     raw = claim.answer.encode()
     delivery = Delivery(claim.generation)
     relay = Relay(None, "", delivery, 0.0, False, None)  # type: ignore[arg-type]
-    return Flow(claim.generation, Ended(raw, 0), get_nothing(), relay, None, job)
+    return ActiveGeneration(claim.generation, Ended(raw, 0), iterate_nothing(), relay, None, job)
 
 
-def _worsen(failure: Failure, ran: Ran) -> Failure:
-    """Return a failure that admits what earlier tries may have run."""
+def _include_earlier_ran(failure: Failure, ran: Ran) -> Failure:
+    """Return a failure that also covers whether earlier attempts may have run."""
     if failure.ran is Ran.NO and ran is not Ran.NO:
         return Failure(failure.kind, failure.reason, ran, failure.retry_after)
     return failure
 
 
-async def _gather(
-    flow: Flow, pieces: AsyncIterator[bytes], headers: tuple[tuple[str, str], ...]
+async def _collect_response(
+    active: ActiveGeneration, pieces: AsyncIterator[bytes], headers: tuple[tuple[str, str], ...]
 ) -> Answer:
-    """Return a whole answer as one JSON document, or a failure."""
+    """Collect the events of a stream into one JSON response, or return its failure."""
     raw = b"".join([piece async for piece in pieces])
     texts: list[str] = []
     for event in raw.split(b"\n\n"):
@@ -522,5 +533,5 @@
             return Failure(FailureKind.UPSTREAM_LOST, detail, Ran.PARTIAL, 1.0)
         if event.startswith(b"id: "):
             texts.append(orjson.loads(data)["text"])
-    body = {"generation": flow.generation, "text": "".join(texts), "tokens": len(texts)}
+    body = {"generation": active.generation, "text": "".join(texts), "tokens": len(texts)}
     return Response(200, orjson.dumps(body), headers=headers)
--- a/src/daleroad/stewardship.py
+++ b/src/daleroad/stewardship.py
@@ -1,4 +1,4 @@
-"""An entry as steward: it admits work to the upstreams that the membership gives it."""
+"""Manages the upstreams assigned to this entry, and obtains permits for work on any upstream."""
 
 from dataclasses import dataclass, field, replace
 
@@ -31,30 +31,35 @@
 )
 from daleroad.records import Organisation, Share, State, Upstream
 
-_ADVANCE_SECONDS = 0.1
-_MEMBERSHIP_SECONDS = 10.0
+_QUEUE_INTERVAL_SECONDS = 0.1
+_MEMBERSHIP_TIMEOUT_SECONDS = 10.0
 
 
 @dataclass
-class _Kept:
-    """One upstream that this entry is steward of."""
+class _ManagedUpstream:
+    """An upstream whose steward is this entry.
+
+    :param last_heard_at: time of the last report, or later to allow for a change of steward.
+    :param ready_at: when the leases of former stewards have expired.
+    :param proposed: the record whose proposal is in progress, if any.
+    """
 
     upstream: Upstream
     admission: Admission
-    heard_at: float
+    last_heard_at: float
     ready_at: float
-    waiters: dict[str, "_Waiter"] = field(default_factory=dict)
-    wanted: Upstream | None = None
+    waiters: dict[str, "_PermitWaiter"] = field(default_factory=dict)
+    proposed: Upstream | None = None
 
 
 @dataclass
-class _Waiter:
+class _PermitWaiter:
     done: anyio.Event = field(default_factory=anyio.Event)
     decision: Granted | Refused | None = None
 
 
 class Stewardship:
-    """The upstreams that this entry is steward of, and permits to all of them.
+    """Admits work to the upstreams that this entry manages, and requests permits for others.
 
     :param env: the entry's environment.
     """
@@ -62,35 +67,37 @@
     def __init__(self, env: Environment) -> None:
         self._env = env
         self._leader = LeaderClient(env.settings, env.links)
-        self._kept: dict[str, _Kept] = {}
+        self._managed: dict[str, _ManagedUpstream] = {}
         self._known_stewards: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Let time pass for the queues until cancelled."""
+        """Process queues and expire silent upstreams periodically until cancelled."""
         while True:
-            await anyio.sleep(_ADVANCE_SECONDS)
+            await anyio.sleep(_QUEUE_INTERVAL_SECONDS)
             now = anyio.current_time()
-            for kept in list(self._kept.values()):
-                kept.admission.rebuilding = now < kept.ready_at
-                self._advance(kept)
-                if now > kept.heard_at + self._env.settings.upstream_lease:
-                    self._lose(kept)
-            waiting = sum(kept.admission.count_waiting() for kept in self._kept.values())
+            for managed in list(self._managed.values()):
+                managed.admission.rebuilding = now < managed.ready_at
+                self._process_queue(managed)
+                if now > managed.last_heard_at + self._env.settings.upstream_lease:
+                    self._remove(managed)
+            waiting = sum(managed.admission.count_waiting() for managed in self._managed.values())
             self._env.metrics.waiting.set(waiting)
 
     # Permits.
 
     async def ask(self, upstream: Upstream, work: Work, wait: bool) -> PermitAnswer | Failure:
-        """Ask the upstream's steward, here or elsewhere, for a permit.
+        """Request a permit from the upstream's steward, locally or over the network.
 
         :param upstream: the upstream.
         :param work: the work.
-        :param wait: whether to wait in its queue.
+        :param wait: whether the work may be queued.
         """
         env = self._env
         steward = env.directory.get_steward(upstream.name)
         if steward is None:
-            return Failure(FailureKind.NO_UPSTREAM, "the upstream has no steward", retry_after=1)
+            return Failure(
+                FailureKind.NO_UPSTREAM, "no steward is known for the upstream", retry_after=1
+            )
         name = env.settings.name
         request = PermitRequest(name, upstream.name, env.catalog.epoch, wait, work)
         if steward.name == name:
@@ -106,59 +113,67 @@
         return answer
 
     async def decide(self, request: PermitRequest) -> PermitAnswer | Failure:
-        """Answer a request for a permit as steward; may take until the work's deadline.
+        """Decide on a permit request as steward; may block until the work's deadline.
 
         :param request: the request.
         """
         env = self._env
-        kept = self._kept.get(request.upstream)
-        if kept is None or request.epoch > env.catalog.epoch:
-            return Failure(FailureKind.CONFLICT, "not the steward", retry_after=0.1)
+        managed = self._managed.get(request.upstream)
+        if managed is None or request.epoch > env.catalog.epoch:
+            return Failure(
+                FailureKind.CONFLICT, "this entry is not the upstream's steward", retry_after=0.1
+            )
         if not env.follower.has_lease():
-            return Failure(FailureKind.NO_LEASE, "the steward has no lease", retry_after=1.0)
+            return Failure(
+                FailureKind.NO_LEASE, "the steward does not hold a lease", retry_after=1.0
+            )
         work = request.work
         record = env.catalog.get("Organisation", work.organisation)
         weight = record.weight if isinstance(record, Organisation) else 1.0
-        kept.admission.set_shares(self._get_shares())
+        managed.admission.set_shares(self._get_shares())
         now = anyio.current_time()
-        decision = kept.admission.ask(work, now, weight, request.wait)
+        decision = managed.admission.ask(work, now, weight, request.wait)
         if isinstance(decision, Queued):
-            decision = await self._wait(kept, work.generation)
-        return self._answer(kept, decision)
+            decision = await self._wait_for_decision(managed, work.generation)
+        return self._make_answer(managed, decision)
 
-    async def _wait(self, kept: _Kept, generation: str) -> Granted | Refused:
-        waiter = kept.waiters.setdefault(generation, _Waiter())
+    async def _wait_for_decision(
+        self, managed: _ManagedUpstream, generation: str
+    ) -> Granted | Refused:
+        waiter = managed.waiters.setdefault(generation, _PermitWaiter())
         try:
             await waiter.done.wait()
         finally:
-            kept.waiters.pop(generation, None)
+            managed.waiters.pop(generation, None)
             if waiter.decision is None:
-                kept.admission.withdraw(generation)
+                managed.admission.withdraw(generation)
         assert waiter.decision is not None
         return waiter.decision
 
-    def _answer(self, kept: _Kept, decision: Decision) -> PermitAnswer | Failure:
+    def _make_answer(self, managed: _ManagedUpstream, decision: Decision) -> PermitAnswer | Failure:
         match decision:
             case Granted():
-                return PermitAnswer(kept.admission.get_load())
+                return PermitAnswer(managed.admission.get_load())
             case Refused(_, failure):
                 return failure
-        return Failure(FailureKind.OVERLOADED, "still queued", retry_after=decision.wait)
+        return Failure(
+            FailureKind.OVERLOADED, "the work is still queued", retry_after=decision.wait
+        )
 
     def end_locally(self, end: PermitEnd) -> None:
-        """Take a permit back as steward.
+        """Release a permit that this entry granted.
 
-        :param end: which, and how the work ended.
+        :param end: the permit, and how the work ended.
         """
-        kept = self._kept.get(end.upstream)
-        if kept is not None:
-            kept.admission.finish(end.generation, end.tokens, end.ok and end.started)
-            self._advance(kept)
+        managed = self._managed.get(end.upstream)
+        if managed is not None:
+            managed.admission.finish(end.generation, end.tokens, end.ok and end.started)
+            self._process_queue(managed)
 
     async def end(self, end: PermitEnd) -> None:
-        """Give a permit back to the steward, wherever it is.
+        """Return a permit to the upstream's steward, locally or over the network.
 
-        :param end: which, and how the work ended.
+        :param end: the permit, and how the work ended.
         """
         steward = self._env.directory.get_steward(end.upstream)
         if steward is None:
@@ -169,29 +184,29 @@
             await self._env.links.call(f"{steward.address}/permits/end", encode(end), type(None))
 
     def restore(self, handover: Handover) -> None:
-        """Take over works that an entry delivers and a former steward admitted.
+        """Restore work that a former steward admitted and an entry still delivers.
 
-        :param handover: the works.
+        :param handover: the work, and the tokens produced so far.
         """
-        kept = self._kept.get(handover.upstream)
-        if kept is None:
+        managed = self._managed.get(handover.upstream)
+        if managed is None:
             return
         now = anyio.current_time()
         for work, produced in zip(handover.works, handover.produced, strict=True):
-            kept.admission.restore(work, produced, now)
+            managed.admission.restore(work, produced, now)
 
-    def _advance(self, kept: _Kept) -> None:
-        for decision in kept.admission.advance(anyio.current_time()):
-            self._decide(kept, decision)
-        load = kept.admission.get_load()
-        self._env.loads[kept.upstream.name] = load
-        self._env.metrics.promised.labels(kept.upstream.name).set(load)
+    def _process_queue(self, managed: _ManagedUpstream) -> None:
+        for decision in managed.admission.advance(anyio.current_time()):
+            self._deliver_decision(managed, decision)
+        load = managed.admission.get_load()
+        self._env.loads[managed.upstream.name] = load
+        self._env.metrics.promised.labels(managed.upstream.name).set(load)
 
-    def _decide(self, kept: _Kept, decision: Granted | Refused) -> None:
-        waiter = kept.waiters.get(decision.work.generation)
+    def _deliver_decision(self, managed: _ManagedUpstream, decision: Granted | Refused) -> None:
+        waiter = managed.waiters.get(decision.work.generation)
         if waiter is None:
             if isinstance(decision, Granted):
-                kept.admission.finish(decision.work.generation, 0, ok=False)
+                managed.admission.finish(decision.work.generation, 0, ok=False)
             return
         waiter.decision = decision
         waiter.done.set()
@@ -203,56 +218,56 @@
     # Upstreams.
 
     def announce(self, upstream: Upstream) -> str | None:
-        """Take an announcement, or return the base URL of the steward that should.
+        """Process an upstream's announcement and return its steward's base URL.
 
         :param upstream: the upstream.
-        :return: this entry's URL if it is the steward, another's, or nothing if none is known.
+        :return: the base URL, or ``None`` if no steward is known.
         """
         env = self._env
-        # A new upstream is not in the catalog yet, so its steward is worked out from its name.
+        # A new upstream is not in the catalog yet, so its steward is computed from its record.
         steward = env.directory.pick_steward_of(upstream)
         if steward is None:
             return None
         if steward.name == env.settings.name:
-            self._keep(upstream, is_new=upstream.name not in env.catalog.upstreams)
-            self._want(upstream.name, upstream)
+            self._manage(upstream, is_new=upstream.name not in env.catalog.upstreams)
+            self._update_catalog(upstream.name, upstream)
         return steward.address
 
     def tell(self, name: str, load: Load, draining: bool, left: bool, models: list[str]) -> bool:
-        """Take an upstream's report; return whether this entry is its steward.
+        """Process an upstream's report; return whether this entry is its steward.
 
         :param name: the upstream.
         :param load: its load.
-        :param draining: whether it is leaving.
-        :param left: whether it is gone.
+        :param draining: whether it is draining.
+        :param left: whether it has shut down.
         :param models: its loaded model versions.
         """
-        kept = self._kept.get(name)
-        if kept is None:
+        managed = self._managed.get(name)
+        if managed is None:
             return False
-        kept.heard_at = anyio.current_time()
-        kept.admission.report(load, kept.heard_at)
+        managed.last_heard_at = anyio.current_time()
+        managed.admission.report(load, managed.last_heard_at)
         self._env.metrics.preemptions.labels(name).set(load.preemptions)
         if left:
-            self._lose(kept)
+            self._remove(managed)
             return True
-        if draining and not kept.admission.draining:
-            self._drain(kept)
+        if draining and not managed.admission.draining:
+            self._drain(managed)
         state = State.DRAINING if draining else State.SERVING
-        self._want(name, replace(kept.upstream, state=state, models=tuple(models)))
-        self._advance(kept)
+        self._update_catalog(name, replace(managed.upstream, state=state, models=tuple(models)))
+        self._process_queue(managed)
         return True
 
     def refresh(self) -> None:
-        """Take over and give up upstreams as the membership changed."""
+        """Take over or release upstreams after a membership change."""
         env = self._env
         for name, upstream in env.catalog.upstreams.items():
             steward = env.directory.get_steward(name)
-            mine = steward is not None and steward.name == env.settings.name
-            if mine and name not in self._kept:
-                self._keep(upstream, is_new=False)
-            if not mine and name in self._kept:
-                self._give_up(name)
+            is_steward = steward is not None and steward.name == env.settings.name
+            if is_steward and name not in self._managed:
+                self._manage(upstream, is_new=False)
+            if not is_steward and name in self._managed:
+                self._stop_managing(name)
             known = self._known_stewards.get(name)
             now = steward.name if steward else ""
             if known is not None and known != now:
@@ -263,11 +278,11 @@
             env.ejector.forget(name)
             env.loads.pop(name, None)
 
-    def _keep(self, upstream: Upstream, is_new: bool) -> None:
+    def _manage(self, upstream: Upstream, is_new: bool) -> None:
         now = anyio.current_time()
         settings = self._env.settings
-        kept = self._kept.get(upstream.name)
-        if kept is None:
+        managed = self._managed.get(upstream.name)
+        if managed is None:
             admission = Admission(
                 upstream.capacity,
                 upstream.slots,
@@ -275,54 +290,56 @@
                 PeakMemory(),
                 settings.queue_most,
             )
-            # A former steward may admit until its lease runs out.
+            # A former steward may admit work until its lease expires.
             ready_at = now if is_new else now + settings.entry_lease
-            kept = _Kept(upstream, admission, now, ready_at)
+            managed = _ManagedUpstream(upstream, admission, now, ready_at)
             admission.rebuilding = now < ready_at
-            self._kept[upstream.name] = kept
-        # An upstream that comes from another steward gets time to find this one.
-        kept.heard_at = now if is_new else now + settings.entry_lease
+            self._managed[upstream.name] = managed
+        # Allows an upstream time to discover that its steward changed.
+        managed.last_heard_at = now if is_new else now + settings.entry_lease
 
-    def _give_up(self, name: str) -> None:
-        kept = self._kept.pop(name)
+    def _stop_managing(self, name: str) -> None:
+        managed = self._managed.pop(name)
         failure = Failure(FailureKind.CONFLICT, "the steward changed", retry_after=0.1)
-        for refused in kept.admission.refuse_all(failure):
-            self._decide(kept, refused)
-
-    def _drain(self, kept: _Kept) -> None:
-        kept.admission.draining = True
-        log_event(Event.UPSTREAM_DRAINING, name=kept.upstream.name)
-        failure = Failure(FailureKind.DRAINING, "the upstream is leaving", retry_after=0.1)
-        for refused in kept.admission.refuse_all(failure):
-            self._decide(kept, refused)
-
-    def _lose(self, kept: _Kept) -> None:
-        name = kept.upstream.name
+        for refused in managed.admission.refuse_all(failure):
+            self._deliver_decision(managed, refused)
+
+    def _drain(self, managed: _ManagedUpstream) -> None:
+        managed.admission.draining = True
+        log_event(Event.UPSTREAM_DRAINING, name=managed.upstream.name)
+        failure = Failure(FailureKind.DRAINING, "the upstream is draining", retry_after=0.1)
+        for refused in managed.admission.refuse_all(failure):
+            self._deliver_decision(managed, refused)
+
+    def _remove(self, managed: _ManagedUpstream) -> None:
+        name = managed.upstream.name
         log_event(Event.UPSTREAM_LEFT, name=name)
-        self._give_up(name)
+        self._stop_managing(name)
         self._env.spawn(self._propose, MembershipRequest(DropUpstream(name)))
 
-    def _want(self, name: str, upstream: Upstream) -> None:
-        """Make the catalog show an upstream as it is now."""
-        kept = self._kept[name]
-        kept.upstream = upstream
+    def _update_catalog(self, name: str, upstream: Upstream) -> None:
+        """Propose an upstream's current record to the catalog if it differs."""
+        managed = self._managed[name]
+        managed.upstream = upstream
         in_catalog = self._env.catalog.upstreams.get(name)
-        if in_catalog == upstream or kept.wanted == upstream:
+        if in_catalog == upstream or managed.proposed == upstream:
             return
-        kept.wanted = upstream
-        self._env.spawn(self._propose_upstream, kept, upstream)
+        managed.proposed = upstream
+        self._env.spawn(self._propose_upstream, managed, upstream)
 
-    async def _propose_upstream(self, kept: _Kept, upstream: Upstream) -> None:
+    async def _propose_upstream(self, managed: _ManagedUpstream, upstream: Upstream) -> None:
         await self._propose(MembershipRequest(SetUpstream(upstream)))
-        if kept.wanted == upstream:
-            kept.wanted = None
+        if managed.proposed == upstream:
+            managed.proposed = None
 
     async def _propose(self, request: MembershipRequest) -> None:
         body = encode(request)
-        await self._leader.call("/membership", body, MembershipAnswer, 2.0, _MEMBERSHIP_SECONDS)
+        await self._leader.call(
+            "/membership", body, MembershipAnswer, 2.0, _MEMBERSHIP_TIMEOUT_SECONDS
+        )
 
     async def _hand_over(self, name: str) -> None:
-        """Tell an upstream's new steward which works this entry delivers from it."""
+        """Send the work that this entry delivers from an upstream to its new steward."""
         flights = [f for f in self._env.inflight.values() if f.upstream == name]
         steward = self._env.directory.get_steward(name)
         if not flights or steward is None:
