--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of the claim journal's rules."""
+"""Tests of the state machine of the claim journal."""
 
 import unittest
 
@@ -21,7 +21,7 @@
         self.assertEqual((second.acquired, second.claim.generation), (False, "g1"))
         self.assertTrue(journal.apply(Acquire(make_claim("g1"))).acquired)
 
-    def test_another_request_under_the_same_key_conflicts(self) -> None:
+    def test_a_different_request_with_the_same_key_conflicts(self) -> None:
         journal = ClaimJournal()
         journal.apply(Acquire(make_claim("g1")))
         outcome = journal.apply(Acquire(make_claim("g2", digest="other")))
@@ -36,14 +36,14 @@
         journal.apply(Settle("o", "k", "g3", ClaimState.DONE, "answer", 1.0))
         self.assertFalse(journal.apply(Release("o", "k", "g3")).acquired)
 
-    def test_done_is_never_unsettled(self) -> None:
+    def test_a_done_claim_is_final(self) -> None:
         journal = ClaimJournal()
         journal.apply(Acquire(make_claim("g")))
         journal.apply(Settle("o", "k", "g", ClaimState.DONE, "a", 1.0))
         journal.apply(Settle("o", "k", "g", ClaimState.UNKNOWN, "", 2.0))
         self.assertIs(journal.claims["o", "k"].state, ClaimState.DONE)
 
-    def test_settled_claims_expire_and_memory_is_bounded(self) -> None:
+    def test_settled_claims_expire_and_the_journal_size_is_bounded(self) -> None:
         journal = ClaimJournal(most=3, keep_seconds=10.0)
         for n in range(3):
             journal.apply(Acquire(make_claim(f"g{n}", f"k{n}")))
@@ -58,14 +58,14 @@
     def test_a_dump_loads_to_the_same_state(self, steps: list) -> None:
         journal = ClaimJournal()
         for action, generation, key in steps:
-            name, slot = f"g{generation}", f"k{key}"
+            name, claim_key = f"g{generation}", f"k{key}"
             match action:
                 case 0:
-                    journal.apply(Acquire(make_claim(name, slot)))
+                    journal.apply(Acquire(make_claim(name, claim_key)))
                 case 1:
-                    journal.apply(Settle("o", slot, name, ClaimState.DONE, "", 0.0))
+                    journal.apply(Settle("o", claim_key, name, ClaimState.DONE, "", 0.0))
                 case 2:
-                    journal.apply(Release("o", slot, name))
+                    journal.apply(Release("o", claim_key, name))
         other = ClaimJournal()
         other.load(journal.dump())
         self.assertEqual(other.claims, journal.claims)
--- a/tests/test_finishing.py
+++ b/tests/test_finishing.py
@@ -1,4 +1,4 @@
-"""Tests of by when a generation must have begun to be over before its entry ends."""
+"""Tests of the latest start at which a generation finishes before its entry shuts down."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -27,7 +27,7 @@
 from daleroad.serving import Answer, Request
 from daleroad.settings import Tls
 
-MOST = 900
+MAX_TOKENS = 900
 
 
 def make_lengths(*seen: int) -> Lengths:
@@ -40,62 +40,70 @@
 class ExpectTokensTest(unittest.TestCase):
     def test_table(self) -> None:
         table = (
-            ("nothing seen", make_lengths(), MOST),
-            ("too few seen", make_lengths(*[20] * 7), MOST),
-            ("enough seen", make_lengths(*[20] * 8), 20),
-            ("one long one of forty counts as chance", make_lengths(*[20] * 39, 700), 20),
-            ("one long one of ten counts", make_lengths(*[20] * 9, 700), 700),
-            ("longer than the limit", make_lengths(*[2000] * 8), MOST),
+            ("no lengths recorded", make_lengths(), MAX_TOKENS),
+            ("too few lengths", make_lengths(*[20] * 7), MAX_TOKENS),
+            ("enough lengths", make_lengths(*[20] * 8), 20),
+            ("one outlier in forty is ignored", make_lengths(*[20] * 39, 700), 20),
+            ("one outlier in ten counts", make_lengths(*[20] * 9, 700), 700),
+            ("longer than the limit", make_lengths(*[2000] * 8), MAX_TOKENS),
         )
         for name, lengths, expected in table:
             with self.subTest(name):
-                self.assertEqual(expect_tokens(lengths, "route", "model", MOST), expected)
+                self.assertEqual(expect_tokens(lengths, "route", "model", MAX_TOKENS), expected)
 
-    def test_a_new_version_is_judged_by_its_route_and_another_route_is_not(self) -> None:
+    def test_a_new_model_uses_its_routes_lengths_and_another_route_does_not(self) -> None:
         lengths = make_lengths(*[20] * 8)
-        self.assertEqual(expect_tokens(lengths, "route", "new", MOST), 20)
-        self.assertEqual(expect_tokens(lengths, "other", "model", MOST), MOST)
+        self.assertEqual(expect_tokens(lengths, "route", "new", MAX_TOKENS), 20)
+        self.assertEqual(expect_tokens(lengths, "other", "model", MAX_TOKENS), MAX_TOKENS)
 
 
 class LatestStartTest(unittest.TestCase):
     def test_table(self) -> None:
         table = (
-            ("an entry that serves", float("inf"), 120.0, MOST, float("inf")),
-            ("a long one", 100.0, 120.0, 1000, 100.0 - STOP_BEGIN_SECONDS - 18.0),
-            ("a short one", 100.0, 120.0, 10, 100.0 - STOP_BEGIN_SECONDS - 0.18),
-            ("an urgent one that begins at once or never", 100.0, 0.2, 10, 100.0 - 0.2 - 0.18),
+            ("no shutdown in progress", float("inf"), 120.0, MAX_TOKENS, float("inf")),
+            ("long output", 100.0, 120.0, 1000, 100.0 - STOP_BEGIN_SECONDS - 18.0),
+            ("short output", 100.0, 120.0, 10, 100.0 - STOP_BEGIN_SECONDS - 0.18),
+            (
+                "deadline shorter than the usual time to first token",
+                100.0,
+                0.2,
+                10,
+                100.0 - 0.2 - 0.18,
+            ),
         )
         for name, ends_at, allowed, tokens, expected in table:
             with self.subTest(name):
                 self.assertAlmostEqual(find_latest_start(ends_at, allowed, tokens), expected)
 
     @given(st.floats(0, 1000), st.floats(0, 200), st.integers(1, 10_000))
-    def test_it_is_over_in_time(self, ends_at: float, allowed: float, tokens: int) -> None:
+    def test_a_generation_that_starts_by_then_finishes_in_time(
+        self, ends_at: float, allowed: float, tokens: int
+    ) -> None:
         begins_at = find_latest_start(ends_at, allowed, tokens) + min(allowed, STOP_BEGIN_SECONDS)
         self.assertAlmostEqual(begins_at + tokens * DRAIN_TOKEN_SECONDS, ends_at)
 
 
 class FakeStewardship:
-    """Gives each permit late, and notes what was asked and given back."""
+    """Awaits a hook before granting each permit; records requested work and returned permits."""
 
-    def __init__(self, give: Callable[[], Awaitable[None]]) -> None:
-        self._give = give
-        self.asked: list[Work] = []
-        self.ended: list[PermitEnd] = []
+    def __init__(self, before_grant: Callable[[], Awaitable[None]]) -> None:
+        self._before_grant = before_grant
+        self.requested: list[Work] = []
+        self.returned: list[PermitEnd] = []
 
     async def ask(self, upstream: Upstream, work: Work, wait: bool) -> PermitAnswer | Failure:
-        self.asked.append(work)
-        await self._give()
+        self.requested.append(work)
+        await self._before_grant()
         return PermitAnswer(0.5)
 
     async def end(self, end: PermitEnd) -> None:
-        self.ended.append(end)
+        self.returned.append(end)
 
 
-class LeavingEntryTest(unittest.TestCase):
-    """A generation of 100 tokens at an entry that ends; it takes 2.3 s."""
+class EntryShutdownTest(unittest.TestCase):
+    """A generation of 100 tokens on an entry that shuts down; it needs 2.3 s."""
 
-    def make_generations(self, give: Callable[[], Awaitable[None]]) -> None:
+    def make_generations(self, before_grant: Callable[[], Awaitable[None]]) -> None:
         settings = make_site("data").entries[0]
         self.env = Environment(settings, Links(Tls(), settings.cluster_secret), Random(1))
         catalog = self.env.catalog
@@ -104,7 +112,7 @@
         catalog.store(2, "Route", "r", route)
         upstream = Upstream("u", "http://127.0.0.1:1", "s", "z", 1000, 8, ("m",))
         catalog.follow(3, SetUpstream(upstream))
-        self.steward = FakeStewardship(give)
+        self.steward = FakeStewardship(before_grant)
         limits = Limits(self.env)
         self.generations = Generations(self.env, self.steward, limits, Holding(self.env))
 
@@ -114,40 +122,40 @@
         with anyio.fail_after(10):
             return await self.generations.serve(Request("POST", "/", "", "", headers, body))
 
-    def check_leaving(self, answer: Answer) -> None:
+    def check_refused(self, answer: Answer) -> None:
         self.assertIsInstance(answer, Failure)
         self.assertEqual((answer.kind, answer.ran), (FailureKind.DRAINING, Ran.NO), answer)
         self.assertEqual(answer.retry_after, 0.1)
 
-    def test_what_cannot_be_over_is_not_begun(self) -> None:
+    def test_a_generation_that_cannot_finish_is_not_started(self) -> None:
         async def run() -> Answer:
             self.make_generations(anyio.lowlevel.checkpoint)
             self.env.ends_at = anyio.current_time() + 2.2
             return await self.serve()
 
-        self.check_leaving(anyio.run(run))
-        self.assertEqual(self.steward.asked, [])
+        self.check_refused(anyio.run(run))
+        self.assertEqual(self.steward.requested, [])
 
-    def test_what_can_be_over_gets_a_permit_that_is_in_time(self) -> None:
+    def test_a_generation_that_can_finish_requests_a_permit_with_a_shorter_deadline(self) -> None:
         async def run() -> Answer:
             self.make_generations(anyio.lowlevel.checkpoint)
             self.env.ends_at = anyio.current_time() + 4.3
             return await self.serve()
 
-        # The upstream is not there; that a permit was asked for is enough.
+        # No upstream listens; only the permit request matters.
         self.assertEqual(anyio.run(run).ran, Ran.NO)
-        self.assertGreater(self.steward.asked[0].deadline, 1.5)
-        self.assertLessEqual(self.steward.asked[0].deadline, 2.0)
+        self.assertGreater(self.steward.requested[0].deadline, 1.5)
+        self.assertLessEqual(self.steward.requested[0].deadline, 2.0)
 
-    def test_a_wait_for_a_permit_ends_when_it_would_be_too_late(self) -> None:
+    def test_a_wait_for_a_permit_is_cancelled_at_the_latest_start(self) -> None:
         async def run() -> Answer:
             self.make_generations(anyio.sleep_forever)
             self.env.ends_at = anyio.current_time() + 2.5
             return await self.serve()
 
-        self.check_leaving(anyio.run(run))
+        self.check_refused(anyio.run(run))
 
-    def test_a_wait_from_before_the_signal_ends_too(self) -> None:
+    def test_a_wait_that_began_before_shutdown_is_cancelled(self) -> None:
         async def run() -> Answer:
             async def stop() -> None:
                 await anyio.sleep(0.1)
@@ -159,18 +167,18 @@
                 tasks.start_soon(stop)
                 return await self.serve()
 
-        self.check_leaving(anyio.run(run))
+        self.check_refused(anyio.run(run))
 
-    def test_a_permit_that_comes_too_late_is_given_back(self) -> None:
-        async def give() -> None:
-            # Told in the turn in which the permit comes, so that no wait is cut off.
+    def test_a_permit_granted_too_late_is_returned(self) -> None:
+        async def before_grant() -> None:
+            # Set as the permit is granted, so that no pending wait is cancelled.
             self.env.ends_at = anyio.current_time() + 1.0
 
         async def run() -> Answer:
-            self.make_generations(give)
+            self.make_generations(before_grant)
             return await self.serve()
 
-        self.check_leaving(anyio.run(run))
-        (work,) = self.steward.asked
-        (end,) = self.steward.ended
+        self.check_refused(anyio.run(run))
+        (work,) = self.steward.requested
+        (end,) = self.steward.returned
         self.assertEqual((end.generation, end.started, end.ok), (work.generation, False, False))
