--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,7 +1,6 @@
-"""What a caller sees of requests that a process took and that outlast it.
+"""Tests that each request in progress at shutdown ends whole or with a typed failure.
 
-A supervisor gives a process some seconds after SIGTERM and then kills it. Each request that was
-taken must have ended by then: whole, or by a typed failure that says whether it ran.
+A supervisor kills a process a few seconds after SIGTERM, which must not cut off any response.
 """
 
 import threading
@@ -26,16 +25,16 @@
 from tests.harness import SiteTest, generate, get_json, wait_for
 
 KILL_SECONDS = 3.0
-"""From SIGTERM to SIGKILL; the site's setting."""
+"""From SIGTERM to SIGKILL; the setting ``stop`` of the site."""
 
-LONG_TOKENS = 900
-"""About 11 s at the stand-in's usual speed, so more than KILL_SECONDS."""
+LONG_OUTPUT_TOKENS = 900
+"""Takes about 11 s at the stand-in's default speed, longer than KILL_SECONDS."""
 
 SHORT_GRACE_SECONDS = 0.5
-"""Time that the server gives to open requests where a test sets it; control gives 3 s."""
+"""Grace period for open requests in ServerTest; control processes use 3 s."""
 
-AT_ONCE_SECONDS = 2.0
-"""docs/OPERATIONS.md: a second SIGTERM ends an entry at once."""
+MAX_FORCED_EXIT_SECONDS = 2.0
+"""Limit for the exit after a second SIGTERM, which docs/OPERATIONS.md says is immediate."""
 
 _END = b"event: end\n"
 _ERROR = b"event: error\n"
@@ -43,15 +42,18 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What one HTTP exchange gave. ``cut`` says how the connection broke, or is empty."""
+    """Result of one HTTP exchange.
+
+    :param connection_error: ``repr`` of the transport error, or empty.
+    """
 
     status: int = 0
     body: bytes = b""
-    cut: str = ""
+    connection_error: str = ""
 
 
-def ask(url: str, body: dict, headers: dict[str, str], begun: threading.Event) -> Outcome:
-    """Send one request without any retry, and read whatever comes."""
+def ask(url: str, body: dict, headers: dict[str, str], body_started: threading.Event) -> Outcome:
+    """Send one request without retries, and read the response until it ends or fails."""
     status = 0
     read = b""
     try:
@@ -61,14 +63,14 @@
             status = response.status_code
             for chunk in response.iter_bytes():
                 read += chunk
-                begun.set()
+                body_started.set()
     except httpx.HTTPError as error:
         return Outcome(status, read, repr(error))
     return Outcome(status, read)
 
 
-class StoppingTest(SiteTest):
-    """A site whose locate answers are kept for 1 s, so that draining is short."""
+class ShutdownTest(SiteTest):
+    """A site whose locate answers expire after 1 s, which shortens draining."""
 
     kill_seconds = KILL_SECONDS
 
@@ -82,10 +84,10 @@
     def setUp(self) -> None:
         super().setUp()
         self.pool = self.enterContext(ThreadPoolExecutor(4))
-        self.begun = threading.Event()
+        self.body_started = threading.Event()
 
-    def supervise(self, name: str) -> Callable[[], None]:
-        """Send SIGTERM, later SIGKILL as the setting says; return what sends SIGTERM again."""
+    def terminate_then_kill(self, name: str) -> Callable[[], None]:
+        """Send SIGTERM, and SIGKILL after ``kill_seconds``; return what repeats SIGTERM."""
         process = self.processes.terminate(name)
         timer = threading.Timer(self.kill_seconds, process.kill)
         timer.start()
@@ -99,7 +101,11 @@
         return process.terminate
 
     def submit(
-        self, settings: Settings, stream: bool = True, tokens: int = LONG_TOKENS, last: str = ""
+        self,
+        settings: Settings,
+        stream: bool = True,
+        tokens: int = LONG_OUTPUT_TOKENS,
+        last: str = "",
     ) -> "Future[Outcome]":
         headers = {"authorization": f"Bearer {get_token('danube-barges')}"}
         body = {
@@ -110,103 +116,109 @@
         }
         if last:
             headers["last-event-id"] = last
-        return self.pool.submit(ask, f"{settings.url}/v1/completions", body, headers, self.begun)
-
-    def wait_taken(self, settings: Settings) -> None:
-        wait_for(lambda: get_json(f"{settings.url}/status")["inflight"], "a generation there")
-
-    def check_ended(self, outcome: Outcome) -> None:
-        """Check that an exchange ended whole or by a typed failure."""
-        seen = f"status {outcome.status}, {len(outcome.body)} bytes, {outcome.cut}"
-        self.assertEqual(outcome.cut, "", f"ended without an answer: {seen}")
+        return self.pool.submit(
+            ask, f"{settings.url}/v1/completions", body, headers, self.body_started
+        )
+
+    def wait_inflight(self, settings: Settings) -> None:
+        wait_for(lambda: get_json(f"{settings.url}/status")["inflight"], "a generation in progress")
+
+    def check_whole_or_typed_failure(self, outcome: Outcome) -> None:
+        """Check that an exchange ended whole or with a typed failure."""
+        seen = f"status {outcome.status}, {len(outcome.body)} bytes, {outcome.connection_error}"
+        self.assertEqual(
+            outcome.connection_error, "", f"connection closed without a complete answer: {seen}"
+        )
         if outcome.status != 200:
             self.assertIn(b'"urn:daleroad:', outcome.body, seen)
         elif not outcome.body.startswith(b"{"):
             last = outcome.body.rstrip(b"\n").rpartition(b"\n\n")[2]
             self.assertTrue(last.startswith((_END, _ERROR)), f"{seen}; last: {last!r}")
 
-    def check_not_begun_or_whole(self, outcome: Outcome) -> None:
-        """Check that what can't end in time was not begun: a typed end in its middle won't do."""
-        self.check_ended(outcome)
+    def check_whole_or_refused(self, outcome: Outcome) -> None:
+        """Check that a generation was whole or was refused before it started."""
+        self.check_whole_or_typed_failure(outcome)
         if outcome.status == 200:
-            self.assertNotIn(_ERROR, outcome.body, "begun, and ended in the middle")
+            self.assertNotIn(_ERROR, outcome.body, "started, then aborted")
         else:
             self.assertIn(b'"ran":"no"', outcome.body)
 
 
-class EntryTest(StoppingTest):
-    """An entry that its supervisor stops."""
+class EntryTest(ShutdownTest):
+    """An entry that its supervisor stops after a short grace period."""
 
     def setUp(self) -> None:
         super().setUp()
         self.entry = self.site.entries[0]
 
     def test_a_stream_taken_after_the_signal(self) -> None:
-        self.supervise(self.entry.name)
+        self.terminate_then_kill(self.entry.name)
         time.sleep(0.5)
-        self.check_not_begun_or_whole(self.submit(self.entry).result(30))
+        self.check_whole_or_refused(self.submit(self.entry).result(30))
 
     def test_an_answer_in_one_piece_taken_after_the_signal(self) -> None:
-        self.supervise(self.entry.name)
+        self.terminate_then_kill(self.entry.name)
         time.sleep(0.5)
-        self.check_not_begun_or_whole(self.submit(self.entry, stream=False).result(30))
+        self.check_whole_or_refused(self.submit(self.entry, stream=False).result(30))
 
     def test_a_stream_taken_before_the_signal(self) -> None:
         future = self.submit(self.entry)
-        self.assertTrue(self.begun.wait(30))
-        self.supervise(self.entry.name)
-        self.check_ended(future.result(30))
+        self.assertTrue(self.body_started.wait(30))
+        self.terminate_then_kill(self.entry.name)
+        self.check_whole_or_typed_failure(future.result(30))
 
     def test_an_answer_in_one_piece_taken_before_the_signal(self) -> None:
         future = self.submit(self.entry, stream=False)
-        self.wait_taken(self.entry)
-        self.supervise(self.entry.name)
-        self.check_ended(future.result(30))
+        self.wait_inflight(self.entry)
+        self.terminate_then_kill(self.entry.name)
+        self.check_whole_or_typed_failure(future.result(30))
 
-    def test_the_second_signal_ends_the_process_at_once(self) -> None:
+    def test_a_second_signal_exits_at_once(self) -> None:
         future = self.submit(self.entry)
-        self.assertTrue(self.begun.wait(30))
+        self.assertTrue(self.body_started.wait(30))
         process = self.processes.running[self.entry.name]
-        again = self.supervise(self.entry.name)
+        send_sigterm = self.terminate_then_kill(self.entry.name)
         time.sleep(0.3)
-        again()
+        send_sigterm()
         asked_at = time.monotonic()
         code = process.wait(30)
         took = time.monotonic() - asked_at
         future.result(30)
-        self.assertLess(took, AT_ONCE_SECONDS, f"exit code {code}")
+        self.assertLess(took, MAX_FORCED_EXIT_SECONDS, f"exit code {code}")
 
-    def test_a_stream_at_the_second_signal(self) -> None:
+    def test_a_stream_open_at_a_second_signal(self) -> None:
         future = self.submit(self.entry)
-        self.assertTrue(self.begun.wait(30))
-        again = self.supervise(self.entry.name)
+        self.assertTrue(self.body_started.wait(30))
+        send_sigterm = self.terminate_then_kill(self.entry.name)
         time.sleep(0.3)
-        again()
-        self.check_ended(future.result(30))
+        send_sigterm()
+        self.check_whole_or_typed_failure(future.result(30))
 
     def test_a_stream_counts_once(self) -> None:
         self.submit(self.entry)
-        self.assertTrue(self.begun.wait(30))
+        self.assertTrue(self.body_started.wait(30))
         status = get_json(f"{self.entry.url}/status")
         self.assertEqual((status["requests"], status["inflight"]), (1, 1))
 
-    def test_a_caller_goes_on_at_another_entry(self) -> None:
+    def test_a_caller_resumes_at_another_entry(self) -> None:
         caller = self.make_caller("danube-barges")
-        future = self.pool.submit(generate, caller, "bulletin", f"#tokens={LONG_TOKENS}")
-        self.supervise(wait_for(self.find_busy, "an entry that delivers").name)
-        self.check_whole(future.result(60), LONG_TOKENS)
+        future = self.pool.submit(generate, caller, "bulletin", f"#tokens={LONG_OUTPUT_TOKENS}")
+        self.terminate_then_kill(
+            wait_for(self.find_busy_entry, "an entry with a generation in progress").name
+        )
+        self.check_whole(future.result(60), LONG_OUTPUT_TOKENS)
         self.assertGreater(caller.resumes, 0)
 
-    def find_busy(self) -> Settings | None:
-        """Return an entry with a generation, if there is any."""
+    def find_busy_entry(self) -> Settings | None:
+        """Return an entry with a generation in progress, if any."""
         for settings in self.site.entries:
             if get_json(f"{settings.url}/status")["inflight"]:
                 return settings
         return None
 
 
-class PatientTest(StoppingTest):
-    """An entry whose supervisor gives it some more seconds."""
+class LongGraceTest(ShutdownTest):
+    """An entry that its supervisor stops after a longer grace period."""
 
     kill_seconds = 12.0
 
@@ -215,55 +227,55 @@
         self.entry = self.site.entries[0]
 
     def check_whole_outcome(self, outcome: Outcome) -> None:
-        self.check_ended(outcome)
+        self.check_whole_or_typed_failure(outcome)
         self.assertEqual(outcome.status, 200, outcome)
         self.assertNotIn(_ERROR, outcome.body)
         self.assertIn(_END, outcome.body)
 
     def test_a_short_stream_taken_after_the_signal_is_whole(self) -> None:
-        self.supervise(self.entry.name)
+        self.terminate_then_kill(self.entry.name)
         time.sleep(0.3)
         self.check_whole_outcome(self.submit(self.entry, tokens=60).result(30))
 
-    def test_a_stream_taken_before_the_signal_is_whole_and_the_entry_ends_early(self) -> None:
+    def test_a_stream_taken_before_the_signal_is_whole_and_the_entry_exits_early(self) -> None:
         future = self.submit(self.entry, tokens=300)
-        self.assertTrue(self.begun.wait(30))
+        self.assertTrue(self.body_started.wait(30))
         process = self.processes.running[self.entry.name]
-        self.supervise(self.entry.name)
+        self.terminate_then_kill(self.entry.name)
         self.check_whole_outcome(future.result(30))
         self.assertEqual(process.wait(30), 0)
 
     def test_a_resumed_stream_counts_once_and_is_whole(self) -> None:
         other = self.site.entries[1]
         self.submit(other, tokens=400)
-        self.assertTrue(self.begun.wait(30))
+        self.assertTrue(self.body_started.wait(30))
         record = self.get_record()
         (generation,) = record["generations"]
-        self.begun = threading.Event()
+        self.body_started = threading.Event()
         future = self.submit(self.entry, last=f"{generation}:0")
-        self.assertTrue(self.begun.wait(30))
+        self.assertTrue(self.body_started.wait(30))
         status = get_json(f"{self.entry.url}/status")
         self.assertEqual((status["requests"], status["inflight"]), (1, 0))
-        self.supervise(self.entry.name)
+        self.terminate_then_kill(self.entry.name)
         self.check_whole_outcome(future.result(30))
 
 
-class SlowServiceTest(StoppingTest):
+class SlowServiceTest(ShutdownTest):
     """An entry that waits for a plain service when its supervisor stops it."""
 
     def test_a_call_taken_after_the_signal(self) -> None:
         entry = self.site.entries[0]
-        # The entry bears an urgent route's silent upstream for 10 s, more than KILL_SECONDS.
+        # The entry waits 10 s for a silent upstream of an urgent route, longer than KILL_SECONDS.
         self.processes.freeze(self.site.plain[0].name)
-        self.supervise(entry.name)
+        self.terminate_then_kill(entry.name)
         time.sleep(0.5)
         headers = {"authorization": f"Bearer {get_token('pass-depots')}"}
         url = f"{entry.url}/services/weather/stations/7"
-        self.check_ended(ask(url, {}, headers, self.begun))
+        self.check_whole_or_typed_failure(ask(url, {}, headers, self.body_started))
 
 
 class ServerTest(unittest.TestCase):
-    """The server under every role, when its grace is over or its process cancels it."""
+    """The HTTP server that all roles use, at the end of its grace period or when cancelled."""
 
     def test_a_stream_when_the_grace_is_over(self) -> None:
         self.check(anyio.run(self.serve, "/stream", False), b"event: error\n")
@@ -275,26 +287,28 @@
         self.check(anyio.run(self.serve, "/stream", True), b"event: error\n")
 
     def check(self, outcome: Outcome, expected: bytes) -> None:
-        self.assertEqual(outcome.cut, "", f"ended without an answer: {outcome}")
-        self.assertIn(expected, outcome.body, f"untyped: {outcome}")
+        self.assertEqual(
+            outcome.connection_error, "", f"connection closed without a complete answer: {outcome}"
+        )
+        self.assertIn(expected, outcome.body, f"no typed failure: {outcome}")
 
     async def serve(self, path: str, cancel: bool) -> Outcome:
-        """Serve one request that takes longer than the server stays; return what came of it."""
+        """Serve one request that outlasts the server; return its outcome."""
         stop = anyio.Event()
-        taken = anyio.Event()
+        request_started = anyio.Event()
         outcomes: list[Outcome] = []
 
         async def make_pieces() -> AsyncGenerator[bytes, None]:
             while True:
                 yield b": keepalive\n\n"
-                taken.set()
+                request_started.set()
                 await anyio.sleep(0.05)
 
         async def stream(request: Request) -> Answer:
             return Stream(make_pieces())
 
         async def answer_late(request: Request) -> Answer:
-            taken.set()
+            request_started.set()
             await anyio.sleep(KILL_SECONDS)
             return Response(200, b"{}")
 
@@ -304,15 +318,15 @@
         address = f"127.0.0.1:{find_ports(1)[0]}"
 
         async def fetch() -> None:
-            begun = threading.Event()
+            body_started = threading.Event()
             url = f"http://{address}{path}"
-            outcomes.append(await anyio.to_thread.run_sync(ask, url, {}, {}, begun))
+            outcomes.append(await anyio.to_thread.run_sync(ask, url, {}, {}, body_started))
 
         async with anyio.create_task_group() as client, anyio.create_task_group() as server:
             server.start_soon(serve_app, router, address, Tls(), stop.wait, SHORT_GRACE_SECONDS)
             await anyio.sleep(0.3)
             client.start_soon(fetch)
-            await taken.wait()
+            await request_started.wait()
             if cancel:
                 server.cancel_scope.cancel()
             else:
@@ -320,8 +334,8 @@
         return outcomes[0]
 
 
-class EndingTest(unittest.TestCase):
-    """A router at the moment in which its process ends, without a server."""
+class RouterShutdownTest(unittest.TestCase):
+    """A router at shutdown, called directly as an ASGI application."""
 
     def setUp(self) -> None:
         self.ending = Ending()
@@ -333,22 +347,22 @@
         self.sent.append(event)
         await anyio.sleep(0)
 
-    async def receive_all(self) -> dict:
-        """Give an empty body, then nothing."""
-        if self.begun:
+    async def receive_whole_body(self) -> dict:
+        """Return the whole body once, then block."""
+        if self.body_sent:
             await anyio.sleep_forever()
-        self.begun = True
+        self.body_sent = True
         return {"type": "http.request", "body": b"{}", "more_body": False}
 
-    async def receive_half(self) -> dict:
-        if self.begun:
+    async def receive_partial_body(self) -> dict:
+        if self.body_sent:
             await anyio.sleep_forever()
-        self.begun = True
+        self.body_sent = True
         return {"type": "http.request", "body": b"{", "more_body": True}
 
     async def answer(self, receive: Callable, end_after: float) -> None:
         scope = {"type": "http", "method": "POST", "path": "/", "headers": []}
-        self.begun = False
+        self.body_sent = False
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.router, scope, receive, self.send)
@@ -356,7 +370,7 @@
                 self.ending.end()
 
     def run_handler(self, handler: Callable, receive: Callable, end_after: float = 0.1) -> bytes:
-        """Answer one request, with the end some seconds later; return the body."""
+        """Handle one request, shut down after a delay, and return the response body."""
         self.router.add("POST", "/", handler)
         anyio.run(self.answer, receive, end_after)
         return b"".join(event.get("body", b"") for event in self.sent)
@@ -369,7 +383,7 @@
         async def stream(request: Request) -> Answer:
             return Stream(make_pieces())
 
-        body = self.run_handler(stream, self.receive_all)
+        body = self.run_handler(stream, self.receive_whole_body)
         self.assertEqual(self.sent[0]["status"], 503)
         self.assertIn(b'"ran":"unknown"', body)
 
@@ -381,7 +395,7 @@
         async def stream(request: Request) -> Answer:
             return Stream(make_pieces())
 
-        body = self.run_handler(stream, self.receive_all)
+        body = self.run_handler(stream, self.receive_whole_body)
         self.assertEqual(self.sent[0]["status"], 200)
         self.assertTrue(body.startswith(b"data: 1\n\nevent: error\n"), body)
         self.assertIn(b'"ran":"partial"', body)
@@ -401,9 +415,9 @@
             await anyio.sleep(0.05)
 
         self.send = send
-        self.assertEqual(self.run_handler(stream, self.receive_all, 0.5), b"event: end\n\n")
+        self.assertEqual(self.run_handler(stream, self.receive_whole_body, 0.5), b"event: end\n\n")
 
-    def test_a_stream_that_ends_by_itself_as_it_is_cut_off(self) -> None:
+    def test_a_stream_that_ends_as_it_is_cancelled(self) -> None:
         async def make_pieces() -> AsyncGenerator[bytes, None]:
             yield b"event: end\n\n"
             self.ending.end()
@@ -411,17 +425,17 @@
         async def stream(request: Request) -> Answer:
             return Stream(make_pieces())
 
-        self.assertEqual(self.run_handler(stream, self.receive_all, 0.5), b"event: end\n\n")
+        self.assertEqual(self.run_handler(stream, self.receive_whole_body, 0.5), b"event: end\n\n")
 
-    def test_a_body_that_is_half_read(self) -> None:
+    def test_a_partially_received_request_body(self) -> None:
         async def answer(request: Request) -> Answer:
             return Response(200)
 
-        body = self.run_handler(answer, self.receive_half)
+        body = self.run_handler(answer, self.receive_partial_body)
         self.assertEqual(self.sent[0]["status"], 503)
         self.assertIn(b'"ran":"no"', body)
 
-    def test_a_request_behind_the_end(self) -> None:
+    def test_a_request_after_shutdown(self) -> None:
         ran = []
 
         async def answer(request: Request) -> Answer:
@@ -429,44 +443,44 @@
             return Response(200)
 
         self.ending.end()
-        body = self.run_handler(answer, self.receive_all)
+        body = self.run_handler(answer, self.receive_whole_body)
         self.assertEqual(self.sent[0]["status"], 503)
         self.assertIn(b'"ran":"no"', body)
         self.assertEqual(ran, [])
 
-    def test_an_answer_that_is_there_as_its_handler_is_cut_off(self) -> None:
+    def test_an_answer_returned_as_its_handler_is_cancelled(self) -> None:
         async def answer(request: Request) -> Answer:
             self.ending.end()
             return Response(200, b"{}")
 
-        self.assertEqual(self.run_handler(answer, self.receive_all), b"{}")
+        self.assertEqual(self.run_handler(answer, self.receive_whole_body), b"{}")
 
 
 class FakeLinks:
-    """The first control process that is asked ends, the others answer."""
+    """The first call is refused because of shutdown; later ones succeed."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.called_urls: list[str] = []
 
     async def call(self, url: str, body: bytes, shape: type, limit: float) -> object:
-        self.asked.append(url)
-        return "answer" if len(self.asked) > 1 else make_leaving(Ran.UNKNOWN)
+        self.called_urls.append(url)
+        return "answer" if len(self.called_urls) > 1 else make_leaving(Ran.UNKNOWN)
 
 
 class LeaderTest(unittest.TestCase):
-    def test_a_control_process_that_ends_is_left_for_another(self) -> None:
+    def test_a_call_refused_for_shutdown_is_retried_on_another_control_process(self) -> None:
         links = FakeLinks()
         leader = LeaderClient(make_site("data").entries[0], links)
         answer = anyio.run(leader.call, "/claims/0", b"", str, 1.0, 2.0)
         self.assertEqual(answer, "answer")
-        self.assertNotEqual(links.asked[0], links.asked[1])
+        self.assertNotEqual(links.called_urls[0], links.called_urls[1])
 
 
-class ControlTest(StoppingTest):
-    """A leading control process that its supervisor stops."""
+class ControlTest(ShutdownTest):
+    """A control process that is the leader when its supervisor stops it."""
 
-    def test_a_change_that_waits_to_be_in_force(self) -> None:
-        # The frozen entry keeps the change from being in force until its lease has run out.
+    def test_a_change_that_waits_to_take_effect(self) -> None:
+        # The change takes effect only once the lease of the frozen entry has expired.
         self.processes.freeze(self.site.entries[0].name)
         self.addCleanup(self.processes.thaw, self.site.entries[0].name)
         leader = self.find_leader()
@@ -479,9 +493,11 @@
         }
         headers = {"authorization": f"Bearer {OPERATOR_TOKENS[STOYANOV]}"}
         url = f"{leader.url}/daleroad.v1.Operators/Change"
-        future = self.pool.submit(ask, url, body, headers, self.begun)
+        future = self.pool.submit(ask, url, body, headers, self.body_started)
         time.sleep(0.5)
-        self.supervise(leader.name)
+        self.terminate_then_kill(leader.name)
         outcome = future.result(30)
-        self.assertEqual(outcome.cut, "", f"ended without an answer: {outcome}")
+        self.assertEqual(
+            outcome.connection_error, "", f"connection closed without a complete answer: {outcome}"
+        )
         self.assertIn(b'"accepted":true', outcome.body.replace(b" ", b""))
