--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults at each step of a request, on real processes, checked against what the engines ran."""
+"""Tests of faults at each step of a request, with real processes and the engines' run records."""
 
 import threading
 import time
@@ -18,7 +18,7 @@
 
 
 class FaultTest(SiteTest):
-    """A site whose first Tamarack and Stoyanov engines are reached through relays."""
+    """A site whose engines are reached through fault-injecting relays."""
 
     SPEED = 4.0
     STALL = 1.5
@@ -41,10 +41,10 @@
     def submit(
         self, organisation: str, route: str, prompt: str, key: str = "", entry: int = 0
     ) -> "Future[list[CallerPart]]":
-        """Ask one entry, and no other, in the background."""
-        return self.pool.submit(self.ask_entry, organisation, route, prompt, key, entry)
+        """Generate in the background through one entry only."""
+        return self.pool.submit(self.generate_at_entry, organisation, route, prompt, key, entry)
 
-    def ask_entry(
+    def generate_at_entry(
         self, organisation: str, route: str, prompt: str, key: str, entry: int
     ) -> list[CallerPart]:
         caller = self.make_caller(organisation, entry)
@@ -52,8 +52,8 @@
         caller._keep_until = float("inf")
         return generate(caller, route, prompt, key)
 
-    def post(self, entry: int, key: str, prompt: str = "#tokens=6") -> httpx.Response:
-        """Ask for a gate check-in once, without any retry."""
+    def post_check_in(self, entry: int, key: str, prompt: str = "#tokens=6") -> httpx.Response:
+        """Request a gate check-in once, without retries."""
         headers = {
             "authorization": f"Bearer {get_token('herders')}",
             "idempotency-key": key,
@@ -63,7 +63,7 @@
         return httpx.post(url, json=body, headers=headers, timeout=60, trust_env=False)
 
     def list_runs(self) -> list[str]:
-        """Return the generations that ran on any engine."""
+        """Return the generations that the running engines have executed."""
         runs: list[str] = []
         for options in self.site.engines:
             if options.name in self.processes.running:
@@ -73,22 +73,23 @@
 
 
 class OnceTest(FaultTest):
-    """Work that may not be repeated; gate check-ins run on the drafting engine."""
+    """Requests that may not be repeated; gate check-ins run on the drafting engine."""
 
     ENGINE = "drafting-models-0"
 
-    def hold(self, way: str) -> None:
-        self.relays[self.ENGINE].holding[way] = True
+    def hold_new_connections(self, direction: str) -> None:
+        self.relays[self.ENGINE].holding[direction] = True
 
-    def wait_held(self) -> None:
+    def wait_for_held_connection(self) -> None:
+        """Wait for a held connection, then stop holding new ones."""
         relay = self.relays[self.ENGINE]
         wait_for(lambda: relay.held > 0, "a held connection")
         relay.holding = {"to": False, "from": False}
 
     def test_entry_killed_between_claim_and_dispatch(self) -> None:
-        self.hold("to")
+        self.hold_new_connections("to")
         self.submit("herders", "gate-check-in", "#tokens=6", "key", 0)
-        self.wait_held()
+        self.wait_for_held_connection()
         self.processes.kill(self.site.entries[0].name)
         parts = self.submit("herders", "gate-check-in", "#tokens=6", "key", 1).result(60)
         self.check_whole(parts, 6)
@@ -97,9 +98,9 @@
         self.assertEqual(len(self.list_runs()), 1)
 
     def test_entry_frozen_between_claim_and_dispatch_then_thawed(self) -> None:
-        self.hold("to")
+        self.hold_new_connections("to")
         first = self.submit("herders", "gate-check-in", "#tokens=6", "key", 0)
-        self.wait_held()
+        self.wait_for_held_connection()
         self.processes.freeze(self.site.entries[0].name)
         parts = self.submit("herders", "gate-check-in", "#tokens=6", "key", 1).result(60)
         generation = self.check_whole(parts, 6)
@@ -110,36 +111,36 @@
         self.assertEqual(self.list_runs(), [generation])
 
     def test_entry_killed_between_dispatch_and_first_byte(self) -> None:
-        self.hold("from")
+        self.hold_new_connections("from")
         self.submit("herders", "gate-check-in", "#tokens=6", "key", 0)
-        self.wait_held()
+        self.wait_for_held_connection()
         self.processes.kill(self.site.entries[0].name)
         parts = self.submit("herders", "gate-check-in", "#tokens=6", "key", 1).result(60)
         generation = self.check_whole(parts, 6)
         self.assertEqual(self.list_runs(), [generation])
 
     def test_engine_killed_before_the_first_token(self) -> None:
-        self.hold("from")
-        first = self.pool.submit(self.post, 0, "key")
-        self.wait_held()
+        self.hold_new_connections("from")
+        first = self.pool.submit(self.post_check_in, 0, "key")
+        self.wait_for_held_connection()
         self.processes.kill(self.ENGINE)
         self.relays[self.ENGINE].drop()
         problem = first.result(60).json()
         self.assertEqual(problem["ran"], "unknown")
-        again = self.post(1, "key").json()
+        again = self.post_check_in(1, "key").json()
         self.assertEqual((again["title"], again["ran"]), ("already-ran", "unknown"))
 
     def test_engine_that_cannot_be_reached_never_ran_it(self) -> None:
         self.processes.kill(self.ENGINE)
         self.relays[self.ENGINE].refusing = True
-        problem = self.post(0, "key").json()
+        problem = self.post_check_in(0, "key").json()
         self.assertIn(problem["ran"], ("no", "unknown"))
         self.assertEqual(self.list_runs(), [])
 
     def test_link_cut_one_way_after_dispatch(self) -> None:
-        self.hold("from")
+        self.hold_new_connections("from")
         parts = self.submit("herders", "gate-check-in", "#tokens=6", "key", 0)
-        self.wait_held()
+        self.wait_for_held_connection()
         self.check_whole(parts.result(60), 6)
         self.assertEqual(len(self.list_runs()), 1)
 
@@ -148,9 +149,9 @@
         for settings in self.site.control:
             if settings.name != leader.name:
                 self.processes.kill(settings.name)
-        response = self.post(0, "key")
+        response = self.post_check_in(0, "key")
         problem = response.json()
-        # Whether an earlier try under this key ran can't be known without the journal.
+        # Without the journal, an earlier attempt with this key may have run.
         self.assertEqual(problem["ran"], "unknown")
         self.assertIn("not sent", problem["detail"])
         self.assertIn("retry-after", response.headers)
@@ -189,7 +190,7 @@
 
 
 class RepeatableTest(FaultTest):
-    """Work that may be repeated; two engines a service."""
+    """Requests that may be repeated, with two engines per service."""
 
     ENGINES = 2
 
@@ -211,7 +212,7 @@
         self.check_whole(future.result(90), 40)
 
     def kill_engine_at(self, count: int) -> list[CallerPart]:
-        """Ask, and kill the engine that serves when so many tokens have come."""
+        """Generate, and kill the serving engine after ``count`` tokens."""
         caller = self.make_caller("danube-barges")
 
         async def ask() -> list[CallerPart]:
@@ -259,25 +260,25 @@
                 if len(parts) == 50:
                     for relay in self.relays.values():
                         relay.stalled["from"] = True
-                    threading.Timer(3.0, self.clear).start()
+                    threading.Timer(3.0, self.clear_stalls).start()
             await caller.close()
             return parts
 
         self.check_whole(anyio.run(ask), 400)
         self.assertEqual(len(self.list_runs()), 1)
 
-    def clear(self) -> None:
+    def clear_stalls(self) -> None:
         for relay in self.relays.values():
             relay.stalled = {"to": False, "from": False}
 
     def test_a_leaving_engine_gets_no_new_work_and_finishes_what_runs(self) -> None:
         futures = [self.submit("danube-barges", "bulletin", "#tokens=300") for _ in range(6)]
-        leaving = wait_for(self.find_busy_engine, "work on an engine")
-        url = f"http://{leaving.address}"
+        draining = wait_for(self.find_busy_engine, "work on an engine")
+        url = f"http://{draining.address}"
         httpx.post(f"{url}/drain", trust_env=False)
         time.sleep(3.0)
         before = get_json(f"{url}/record")
-        # Many prefixes, so that affinity would choose the leaving engine for some.
+        # Various prefixes, so that prefix affinity would select the draining engine for some.
         later = [self.ask(20, number % 3, f"{number} ") for number in range(12)]
         after = get_json(f"{url}/record")
         self.assertEqual(after["runs"], before["runs"])
@@ -295,10 +296,10 @@
         def is_gone() -> bool:
             return frozen.name not in get_json(f"{entry.url}/status")["upstreams"]
 
-        wait_for(is_gone, "the frozen engine gone")
+        wait_for(is_gone, "the removal of the frozen engine")
         self.check_whole(self.ask(20), 20)
         self.processes.thaw(frozen.name)
-        wait_for(lambda: not is_gone(), "the thawed engine back")
+        wait_for(lambda: not is_gone(), "the return of the thawed engine")
 
     def test_a_killed_steward_is_replaced_and_long_work_is_admitted_again(self) -> None:
         steward = self.find_steward()
@@ -318,7 +319,7 @@
 
 
 class RollingTest(FaultTest):
-    """Graceful shutdown, one process after the other, under load."""
+    """Rolling restart of all processes under load."""
 
     ENGINES = 2
     SPEED = 2.0
@@ -330,7 +331,7 @@
         self.resumes = Counter()
         self.addCleanup(self.stopping.set)
 
-    def load(self, organisation: str, route: str, length: int, number: int) -> None:
+    def generate_load(self, organisation: str, route: str, length: int, number: int) -> None:
         turn = 0
         while not self.stopping.is_set():
             turn += 1
@@ -342,19 +343,19 @@
 
     def test_rolling_restart_of_every_process_cuts_off_no_request(self) -> None:
         for number in range(2):
-            self.pool.submit(self.load, "danube-barges", "bulletin", 150, number)
-            self.pool.submit(self.load, "pasture-cooperative", "ledger-draft", 100, number)
-            self.pool.submit(self.load, "herders", "gate-check-in", 5, number)
+            self.pool.submit(self.generate_load, "danube-barges", "bulletin", 150, number)
+            self.pool.submit(self.generate_load, "pasture-cooperative", "ledger-draft", 100, number)
+            self.pool.submit(self.generate_load, "herders", "gate-check-in", 5, number)
         for settings in self.site.entries:
-            self.roll(settings.name, lambda s=settings: self.processes.start(s))
+            self.restart(settings.name, lambda s=settings: self.processes.start(s))
         for settings in self.site.control:
-            self.roll(settings.name, lambda s=settings: self.processes.start(s))
+            self.restart(settings.name, lambda s=settings: self.processes.start(s))
             self.find_leader()
             time.sleep(1.0)
-        for place, options in enumerate(self.site.engines):
-            fresh = replace(options, name=f"{options.name}-again{place}")
-            self.roll(options.name, lambda o=fresh: self.processes.start_engine(o))
-            self.wait_upstream(fresh.name)
+        for index, options in enumerate(self.site.engines):
+            replacement = replace(options, name=f"{options.name}-again{index}")
+            self.restart(options.name, lambda o=replacement: self.processes.start_engine(o))
+            self.wait_upstream(replacement.name)
         self.stopping.set()
         self.pool.shutdown(wait=True)
         self.check_results()
@@ -363,7 +364,7 @@
         url = f"{self.site.entries[0].url}/status"
         wait_for(lambda: name in get_json(url)["upstreams"], f"{name} known")
 
-    def roll(self, name: str, start: Callable[[], None]) -> None:
+    def restart(self, name: str, start: Callable[[], None]) -> None:
         process = self.processes.terminate(name)
         self.assertEqual(process.wait(90), 0, name)
         start()
