--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -29,8 +29,8 @@
 import gatewayprocess  # noqa: E402
 import wire  # noqa: E402
 from clientface import make_job  # noqa: E402
-from controlface import ControlFace  # noqa: E402
-from engines import EngineClient, EventStream, make_options  # noqa: E402
+from controlface import ControlApp  # noqa: E402
+from engines import EngineClient, EventStream, make_socket_options  # noqa: E402
 from faces import read_body, send_failure  # noqa: E402
 from nodefile import read_node  # noqa: E402
 from ports import prepare_gateway  # noqa: E402
@@ -366,9 +366,9 @@
         async def send(event: dict) -> None:
             sent.append(event)
 
-        face = ControlFace(SimpleNamespace(log=log))  # type: ignore[arg-type]
+        app = ControlApp(SimpleNamespace(log=log))  # type: ignore[arg-type]
         scope = {"type": "http", "method": method, "path": path}
-        anyio.run(face.answer, scope, receive, send)
+        anyio.run(app.handle, scope, receive, send)
         return sent[0]["status"]
 
     def test_zones_are_evacuated_and_taken_back(self) -> None:
@@ -516,7 +516,7 @@
         self.assertEqual(upstream.connections, 2)
 
     def test_a_longer_silence_is_borne_by_more_probes_and_more_time_for_what_is_sent(self) -> None:
-        short, long = ({o[:2]: o[2] for o in make_options(s)} for s in (3.0, 7.2))
+        short, long = ({o[:2]: o[2] for o in make_socket_options(s)} for s in (3.0, 7.2))
         count = (socket.IPPROTO_TCP, socket.TCP_KEEPCNT)
         unsent = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         self.assertEqual((short[count], short[unsent]), (2, 2500))
