--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform folder: names on the wire, answers of upstreams, and its own modules."""
+"""Tests of the platform folder: wire decoding, upstream client, HTTP applications, startup."""
 
 import json
 import os
@@ -131,7 +131,7 @@
 
 
 class ConfigTest(unittest.TestCase):
-    def test_a_whole_document_is_decoded(self) -> None:
+    def test_complete_config_is_decoded(self) -> None:
         config = decode()
         assert isinstance(config, RoutingConfig)
         stream, plain = config.routes
@@ -149,7 +149,7 @@
         self.assertEqual(config.organisations[0].rank, 1)
         self.assertIsNone(find_fault(config))
 
-    def test_documents_that_can_t_be_read_are_refused(self) -> None:
+    def test_malformed_config_is_rejected(self) -> None:
         whole = orjson.dumps(CONFIG)
         for cut in (0, 1, len(whole) // 2, len(whole) - 1):
             self.assertIsInstance(wire.decode_config(whole[:cut]), Failure)
@@ -168,7 +168,7 @@
         self.assertIsInstance(decode(something_new={"a": 1}), RoutingConfig)
 
 
-BEAT = {
+HEARTBEAT = {
     "service": "s",
     "address": "1.2.3.4:5",
     "zone": "z",
@@ -191,26 +191,26 @@
 
 
 def dump(value: object) -> bytes:
-    # Large whole numbers are no bother to other writers.
+    # The standard library also writes integers of more than 64 bits.
     return json.dumps(value).encode()
 
 
 class HeartbeatTest(unittest.TestCase):
-    def test_a_heartbeat_is_decoded_and_a_broken_one_refused(self) -> None:
-        found = wire.decode_heartbeat("i-1", orjson.dumps(BEAT))
+    def test_heartbeat_is_decoded_and_a_malformed_one_rejected(self) -> None:
+        found = wire.decode_heartbeat("i-1", orjson.dumps(HEARTBEAT))
         assert not isinstance(found, Failure)
         self.assertIs(found.instance.state, InstanceState.LEAVING)
         self.assertEqual((found.instance.id, found.cold), ("i-1", 0.5))
-        for broken in (b"", b"[]", orjson.dumps(BEAT | {"state": "odd"}), b'{"service":"s"}'):
+        for broken in (b"", b"[]", orjson.dumps(HEARTBEAT | {"state": "odd"}), b'{"service":"s"}'):
             self.assertIsInstance(wire.decode_heartbeat("i-1", broken), Failure)
 
-    def test_each_start_of_an_upstream_is_an_instance_of_its_own(self) -> None:
-        starts = [wire.decode_heartbeat("i-1", dump(BEAT | {"born": born})) for born in (7, 8)]
+    def test_each_start_of_an_upstream_is_a_separate_instance(self) -> None:
+        starts = [wire.decode_heartbeat("i-1", dump(HEARTBEAT | {"born": born})) for born in (7, 8)]
         self.assertEqual([s.instance.get_name() for s in starts], ["i-1", "i-1"])
         self.assertEqual([s.instance.born for s in starts], [7, 8])
         self.assertEqual(len({s.instance.id for s in starts}), 2)
 
-    def test_an_entry_from_another_writer_names_no_upstream(self) -> None:
+    def test_heartbeat_with_an_invalid_field_is_rejected(self) -> None:
         wrong: dict[str, tuple[object, ...]] = {
             "service": (1, None, "", ["s"], {"s": 1}, "s" * 300),
             "address": (5, "x", "1.2.3.4", "1.2.3.4:", "1.2.3.4:x", "1.2.3.4:0", "h:80", "1.2.3:4"),
@@ -224,22 +224,22 @@
         for field, values in wrong.items():
             for value in values:
                 with self.subTest(field=field, value=value):
-                    found = wire.decode_heartbeat("i-1", dump(BEAT | {field: value}))
+                    found = wire.decode_heartbeat("i-1", dump(HEARTBEAT | {field: value}))
                     assert isinstance(found, Failure), found
                     self.assertLess(len(found.reason), 300)
         for field in ("service", "address", "zone", "slots", "state", "sequence"):
-            rest = {name: value for name, value in BEAT.items() if name != field}
+            rest = {name: value for name, value in HEARTBEAT.items() if name != field}
             self.assertIsInstance(wire.decode_heartbeat("i-1", dump(rest)), Failure, field)
         for name in ("", "i" * 300):
-            self.assertIsInstance(wire.decode_heartbeat(name, dump(BEAT)), Failure)
+            self.assertIsInstance(wire.decode_heartbeat(name, dump(HEARTBEAT)), Failure)
 
-    def test_a_leave_may_say_of_which_start_it_is(self) -> None:
+    def test_leave_may_name_the_start_of_the_upstream(self) -> None:
         self.assertEqual(wire.decode_leave("i-1", b""), wire.Leave("i-1", 0))
         self.assertEqual(wire.decode_leave("i-1", b'{"born":7}'), wire.Leave("i-1", 7))
         for broken in (b"{", b"[]", b'{"born":"7"}', b'{"born":true}'):
             self.assertIsInstance(wire.decode_leave("i-1", broken), Failure)
 
-    def test_a_report_says_of_which_start_it_is(self) -> None:
+    def test_report_names_the_start_of_the_engine(self) -> None:
         report = {"leaves_ms": 1500, "runs": [["r", 3000, 4, 1]], "born": 7}
         found = wire.decode_report(dump(report))
         self.assertEqual(found, EngineReport(1.5, (RunSize("r", 3000),), 7))
@@ -248,16 +248,18 @@
 
     @given(st.binary(max_size=60) | json_values.map(dump))
     @settings(max_examples=300, deadline=None)
-    def test_whatever_arrives_is_read_or_refused(self, body: bytes) -> None:
+    def test_arbitrary_bodies_are_decoded_or_rejected(self, body: bytes) -> None:
         for decode_body in (wire.decode_report, wire.decode_config):
             decode_body(body)
         self.assertIsInstance(wire.decode_heartbeat("i", body), Failure)
         wire.decode_leave("i", body)
 
-    @given(st.sampled_from([*BEAT, "born"]), json_values)
+    @given(st.sampled_from([*HEARTBEAT, "born"]), json_values)
     @settings(max_examples=300, deadline=None)
-    def test_one_odd_field_never_makes_an_odd_upstream(self, field: str, value: object) -> None:
-        found = wire.decode_heartbeat("i", dump(BEAT | {field: value}))
+    def test_heartbeat_with_an_arbitrary_field_is_valid_or_rejected(
+        self, field: str, value: object
+    ) -> None:
+        found = wire.decode_heartbeat("i", dump(HEARTBEAT | {field: value}))
         if isinstance(found, Failure):
             return
         self.assertIs(type(found.instance.service), str)
@@ -276,7 +278,7 @@
         }
         return make_job(scope, b"body", 100.0)
 
-    def test_a_request_keeps_its_target_and_what_passes(self) -> None:
+    def test_job_keeps_the_target_and_end_to_end_headers(self) -> None:
         job = self.make(
             (b"x-daleroad-attempt-id", b"abc"),
             (b"x-daleroad-deadline-ms", b"1500"),
@@ -298,7 +300,7 @@
         assert job.prompt is not None
         self.assertEqual((job.prompt.tokens, job.prompt.most_output), (1460, 80))
 
-    def test_a_body_is_the_same_however_it_comes_in(self) -> None:
+    def test_fingerprint_does_not_depend_on_body_chunks(self) -> None:
         async def read(*parts: bytes) -> bytes | Failure | None:
             events = [
                 {"type": "http.request", "body": part, "more_body": number + 1 < len(parts)}
@@ -319,11 +321,11 @@
             found.add(find_fingerprint(replace(job, body=body), "org"))
         self.assertEqual(len(found), 1)
 
-    def test_a_request_without_an_id_is_refused(self) -> None:
+    def test_request_without_an_id_is_rejected(self) -> None:
         self.assertIsInstance(self.make(), Failure)
 
 
-class RefusalTest(unittest.TestCase):
+class FailureResponseTest(unittest.TestCase):
     def send(self, failure: Failure) -> tuple[int, dict[bytes, bytes]]:
         sent: list[dict] = []
 
@@ -333,19 +335,19 @@
         anyio.run(send_failure, keep, failure, False)
         return sent[0]["status"], dict(sent[0]["headers"])
 
-    def test_only_what_surely_did_not_run_gets_a_status_that_says_so(self) -> None:
+    def test_status_that_means_not_run_is_sent_only_if_certain(self) -> None:
         for kind in FailureKind:
             for ran in (Ran.UNKNOWN, Ran.PARTIAL, Ran.YES):
                 status, _ = self.send(Failure(kind, "x", ran, 1.0))
                 self.assertNotIn(status, (408, 421, 429, 503), (kind, ran))
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_failure_response_has_retry_after(self) -> None:
         status, headers = self.send(Failure(FailureKind.NO_UPSTREAM, "x", Ran.NO, 0.4))
         self.assertEqual((status, headers[b"retry-after"]), (503, b"0.4"))
 
 
-class ZoneLog:
-    """Stands for a coordinator's log: notes orders about zones, or refuses them."""
+class FakeZoneLog:
+    """Fake of a coordinator's log: records zone orders, and returns a failure if given one."""
 
     def __init__(self, refusal: Failure | None = None) -> None:
         self.orders: list[tuple[str, bool]] = []
@@ -357,7 +359,7 @@
 
 
 class EvacuationCallTest(unittest.TestCase):
-    def call(self, log: ZoneLog, method: str, path: str, body: bytes = b"") -> int:
+    def call(self, log: FakeZoneLog, method: str, path: str, body: bytes = b"") -> int:
         sent: list[dict] = []
 
         async def receive() -> dict:
@@ -371,26 +373,26 @@
         anyio.run(app.handle, scope, receive, send)
         return sent[0]["status"]
 
-    def test_zones_are_evacuated_and_taken_back(self) -> None:
-        log = ZoneLog()
+    def test_zone_evacuation_is_started_and_ended(self) -> None:
+        log = FakeZoneLog()
         self.assertEqual(self.call(log, "POST", "/-/evacuations/hall-a"), 200)
         self.assertEqual(self.call(log, "DELETE", "/-/evacuations/hall-a"), 200)
         self.assertEqual(log.orders, [("hall-a", True), ("hall-a", False)])
 
-    def test_a_body_is_not_looked_at(self) -> None:
-        log = ZoneLog()
+    def test_request_body_is_ignored(self) -> None:
+        log = FakeZoneLog()
         for body in (b"{", b"\xff" * 100, b'{"zone":"hall-b"}'):
             self.assertEqual(self.call(log, "POST", "/-/evacuations/hall-a", body), 200)
         self.assertEqual(set(log.orders), {("hall-a", True)})
 
-    def test_a_zone_that_is_not_known_is_refused_and_no_leader_is_told_apart(self) -> None:
-        unknown = ZoneLog(Failure(FailureKind.INVALID, "no such zone"))
+    def test_unknown_zone_and_missing_leader_get_different_statuses(self) -> None:
+        unknown = FakeZoneLog(Failure(FailureKind.INVALID, "no such zone"))
         self.assertEqual(self.call(unknown, "POST", "/-/evacuations/nowhere"), 400)
-        late = ZoneLog(Failure(FailureKind.NO_MAJORITY, "no leader", Ran.UNKNOWN))
+        late = FakeZoneLog(Failure(FailureKind.NO_MAJORITY, "no leader", Ran.UNKNOWN))
         self.assertGreaterEqual(self.call(late, "POST", "/-/evacuations/hall-a"), 500)
 
-    def test_other_paths_are_unknown(self) -> None:
-        log = ZoneLog()
+    def test_other_paths_get_404(self) -> None:
+        log = FakeZoneLog()
         for method, path in (
             ("PUT", "/-/evacuations/hall-a"),
             ("POST", "/-/evacuations"),
@@ -401,7 +403,7 @@
 
 
 class Upstream:
-    """A stand-in upstream that answers each request with bytes that a test chose."""
+    """Fake upstream that answers each request with prepared bytes."""
 
     def __init__(self, *answers: bytes) -> None:
         self.answers = list(answers)
@@ -436,11 +438,11 @@
 
 
 class EngineClientTest(unittest.TestCase):
-    def ask(
+    def send_requests(
         self,
         upstream: Upstream,
         count: int = 1,
-        look: Callable | None = None,
+        on_reply: Callable | None = None,
         ids: tuple[str, ...] = (),
         own: bool = False,
         last_event: str = "",
@@ -468,10 +470,10 @@
                         last_event=last_event,
                     )
                     reply = await client.send(attempt)
-                    if look is not None:
-                        await look(reply)
+                    if on_reply is not None:
+                        await on_reply(reply)
                     found.append(reply)
-                if look is None and not count:
+                if on_reply is None and not count:
                     found.append(await client.copy(job, instance, instance, True))
                 await client.close()
                 tasks.cancel_scope.cancel()
@@ -479,9 +481,9 @@
 
         return anyio.run(main)
 
-    def test_a_signed_whole_answer_passes_and_the_connection_is_kept(self) -> None:
+    def test_signed_response_is_accepted_and_its_connection_reused(self) -> None:
         upstream = Upstream(answer("200 OK", *SIGNED), answer("500 Oops", *SIGNED))
-        first, second = self.ask(upstream, 2)
+        first, second = self.send_requests(upstream, 2)
         assert isinstance(first, Whole)
         assert isinstance(second, Whole)
         self.assertEqual((first.status, first.body, second.status), (200, b"ok", 500))
@@ -492,37 +494,37 @@
             self.assertIn(line, head)
         self.assertNotIn(b"bearer", head)
 
-    def test_after_a_suspension_no_connection_that_rested_is_used(self) -> None:
+    def test_idle_connections_are_not_reused_after_a_suspension(self) -> None:
         upstream = Upstream(*[answer("200 OK", *SIGNED)] * 2)
 
         async def suspend(reply: Reply) -> None:
             self.client.forget_all()
 
-        found = self.ask(upstream, 2, look=suspend)
+        found = self.send_requests(upstream, 2, on_reply=suspend)
         self.assertTrue(all(isinstance(reply, Whole) for reply in found))
         self.assertEqual(upstream.connections, 2)
 
-    def test_a_stream_made_anew_names_the_last_event_that_the_client_has(self) -> None:
+    def test_restarted_stream_sends_the_last_event_id(self) -> None:
         upstream = Upstream(*[answer("200 OK", *SIGNED)] * 2)
-        self.ask(upstream, last_event="41")
-        self.ask(upstream)
+        self.send_requests(upstream, last_event="41")
+        self.send_requests(upstream)
         self.assertIn(b"last-event-id: 41", upstream.heads[0].lower())
         self.assertNotIn(b"last-event-id", upstream.heads[1].lower())
 
-    def test_a_request_with_a_connection_of_its_own_goes_on_none_that_rested(self) -> None:
+    def test_own_connection_is_not_an_idle_one(self) -> None:
         upstream = Upstream(*[answer("200 OK", *SIGNED)] * 2)
-        replies = self.ask(upstream, 2, own=True)
+        replies = self.send_requests(upstream, 2, own=True)
         self.assertEqual([type(reply) for reply in replies], [Whole, Whole])
         self.assertEqual(upstream.connections, 2)
 
-    def test_a_longer_silence_is_borne_by_more_probes_and_more_time_for_what_is_sent(self) -> None:
+    def test_longer_silence_allows_more_probes_and_later_acknowledgements(self) -> None:
         short, long = ({o[:2]: o[2] for o in make_socket_options(s)} for s in (3.0, 7.2))
         count = (socket.IPPROTO_TCP, socket.TCP_KEEPCNT)
         unsent = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         self.assertEqual((short[count], short[unsent]), (2, 2500))
         self.assertEqual((long[count], long[unsent]), (6, 6700))
 
-    def test_what_is_not_proved_to_be_the_answer_is_lost(self) -> None:
+    def test_response_without_proof_of_origin_is_lost(self) -> None:
         for name, data in {
             "no signature": answer("200 OK", ID),
             "another request's": answer("200 OK", "X-Daleroad-Attempt-Id: xyz", SIGNED[1]),
@@ -532,54 +534,54 @@
         }.items():
             with self.subTest(name):
                 upstream = Upstream(data or b"close-after")
-                (reply,) = self.ask(upstream)
+                (reply,) = self.send_requests(upstream)
                 self.assertIsInstance(reply, Lost)
 
-    def test_only_the_upstreams_word_counts_as_not_run(self) -> None:
+    def test_request_counts_as_not_run_only_if_the_upstream_says_so(self) -> None:
         full = answer("503 Full", ID, "X-Daleroad-Not-Executed: 1")
-        (reply,) = self.ask(Upstream(full))
+        (reply,) = self.send_requests(Upstream(full))
         self.assertEqual(reply, NotRun("status 503"))
-        (reply,) = self.ask(Upstream(answer("421 Other", ID)))
+        (reply,) = self.send_requests(Upstream(answer("421 Other", ID)))
         assert isinstance(reply, NotRun)
         self.assertTrue(reply.gone)
-        (reply,) = self.ask(Upstream(answer("503 Full", ID)))
+        (reply,) = self.send_requests(Upstream(answer("503 Full", ID)))
         self.assertIsInstance(reply, Whole)
 
-    def test_bytes_behind_an_answer_belong_to_no_request(self) -> None:
+    def test_surplus_bytes_after_a_response_are_not_the_next_response(self) -> None:
         surplus = answer("200 OK", *SIGNED) + answer("200 OK", *SIGNED, body=b"more")
         own = answer("200 OK", "X-Daleroad-Attempt-Id: def", SIGNED[1], body=b"own")
-        first, second = self.ask(Upstream(surplus, own), 2, ids=("abc", "def"))
+        first, second = self.send_requests(Upstream(surplus, own), 2, ids=("abc", "def"))
         assert isinstance(first, Whole)
         self.assertEqual(first.body, b"ok")
         if isinstance(second, Whole):
             self.assertEqual(second.body, b"own")
 
-    def test_events_come_whole_and_a_cut_is_seen(self) -> None:
+    def test_stream_yields_complete_events_and_reports_interruption(self) -> None:
         head = answer("200 OK", *SIGNED, "Content-Type: text/event-stream", "X: close-after")
         whole, cut = b"id: 1\ndata: a\n\nid: 2\n\n", b"id: 1\ndata: a\n\nid: 2\nda"
         for body, length, ids in ((whole, len(whole), ["1", "2"]), (cut, 900, ["1"])):
             data = head.replace(b"Content-Length: 2", f"Content-Length: {length}".encode())
             pieces: list[Piece | Lost] = []
 
-            async def look(reply: Reply, kept: list[Piece | Lost] = pieces) -> None:
+            async def on_reply(reply: Reply, kept: list[Piece | Lost] = pieces) -> None:
                 assert isinstance(reply, EventStream)
                 kept += [piece async for piece in reply.pieces()]
 
-            self.ask(Upstream(data[:-2] + body), look=look)
+            self.send_requests(Upstream(data[:-2] + body), on_reply=on_reply)
             self.assertEqual([p.event for p in pieces if isinstance(p, Piece)], ids)
             self.assertEqual(isinstance(pieces[-1], Lost), length == 900)
 
-    def test_copies_are_told_apart(self) -> None:
+    def test_copy_results_are_distinguished(self) -> None:
         made = answer("200 OK", body=b'{"handle":"x","made":4}')
-        self.assertEqual(self.ask(Upstream(made), 0), [Copied("x", 4)])
+        self.assertEqual(self.send_requests(Upstream(made), 0), [Copied("x", 4)])
         for status, fault in ((404, CopyFault.ABSENT), (409, CopyFault.BUSY)):
-            (reply,) = self.ask(Upstream(answer(f"{status} No", body=b"{}")), 0)
+            (reply,) = self.send_requests(Upstream(answer(f"{status} No", body=b"{}")), 0)
             assert isinstance(reply, NotCopied)
             self.assertIs(reply.fault, fault)
 
 
-class FolderTest(unittest.TestCase):
-    def test_the_folder_does_not_hide_the_standard_module(self) -> None:
+class PlatformFolderTest(unittest.TestCase):
+    def test_folder_does_not_shadow_the_standard_module(self) -> None:
         code = "import platform; print(platform.python_version())"
         for folder in (ROOT, ROOT / "platform"):
             done = subprocess.run(
@@ -589,7 +591,7 @@
 
     @contextmanager
     def start_gateway(self, ip: str) -> Iterator[subprocess.Popen]:
-        """Start a gateway that finds no coordinator."""
+        """Start a gateway without seeds."""
         with tempfile.TemporaryDirectory(prefix="daleroad-test-") as folder:
             path = Path(folder) / "node.yaml"
             listen = {"frontend": f"{ip}:18740", "readiness": f"{ip}:18749"}
@@ -608,9 +610,8 @@
                 process.kill()
                 process.communicate()
 
-    def test_a_reload_asked_for_during_the_start_does_not_end_the_process(self) -> None:
-        # Soak seed 13 found a process that a signal ended while it was starting. What comes before
-        # the first line of the script is the interpreter's; from there on the signal is ignored.
+    def test_sighup_during_startup_does_not_end_the_process(self) -> None:
+        # Before the script's first line the interpreter's default action for the signal applies.
         with self.start_gateway("127.0.3.1") as process:
             status, maps = (Path(f"/proc/{process.pid}/{name}") for name in ("status", "maps"))
             ignored = False
@@ -618,14 +619,16 @@
                 loading = "orjson" in maps.read_text()
                 masks = dict(line.split(":", 1) for line in status.read_text().splitlines())
                 ignored = bool(int(masks["SigIgn"], 16) & 1 << (signal.SIGHUP - 1))
-                self.assertTrue(ignored or not loading, "libraries are loaded, and it may be ended")
+                self.assertTrue(
+                    ignored or not loading, "SIGHUP is not ignored while libraries are loaded"
+                )
                 self.assertIsNone(process.poll())
             process.send_signal(signal.SIGHUP)
             assert process.stdout is not None
             self.assertIn(b"D100 STARTED", process.stdout.readline())
             self.assertIsNone(process.poll())
 
-    def test_clients_wait_unread_for_the_first_configuration_and_then_are_refused(self) -> None:
+    def test_clients_wait_for_the_first_configuration_and_then_get_503(self) -> None:
         with self.start_gateway("127.0.3.2") as process:
             assert process.stdout is not None
             self.assertIn(b"D100 STARTED", process.stdout.readline())
@@ -644,9 +647,9 @@
             self.assertIn(b"retry-after", answer)
             self.assertGreater(time.monotonic() - connected, FIRST_CONFIG_SECONDS / 2)
 
-    def test_clients_connect_to_a_starting_gateway_only_where_no_coordinator_answers(self) -> None:
+    def test_client_port_opens_early_only_if_no_coordinator_answers(self) -> None:
         node = read_node(NODE)
-        node = replace(node, client_address="127.0.3.5:18741", our_address="127.0.3.5:17201")
+        node = replace(node, client_address="127.0.3.5:18741", internal_address="127.0.3.5:17201")
         node = replace(node, seeds=("127.0.3.6:17201",))
         with socket.create_server(("127.0.3.6", 17201)):
             self.assertEqual(prepare_gateway(node), {})
@@ -655,39 +658,39 @@
         with socket.socket(fileno=opened[node.client_address]):
             socket.create_connection(("127.0.3.5", 18741), timeout=1).close()
 
-    def test_requirements_are_the_locked_ones(self) -> None:
+    def test_requirements_match_the_lock_file(self) -> None:
         locked = (ROOT / "requirements-lock.txt").read_text().splitlines()
         for line in (ROOT / "requirements.txt").read_text().splitlines():
             self.assertIn(line, locked)
 
-    def test_the_project_declares_what_it_imports(self) -> None:
+    def test_imported_packages_are_declared(self) -> None:
         declared = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["dependencies"]
         for name in ("sniffio", "httpcore", "PyYAML"):
             self.assertIn(name, declared)
 
-    def test_words_of_the_wire_stay_in_the_folder(self) -> None:
+    def test_wire_names_are_used_only_in_the_platform_folder(self) -> None:
         for path in (ROOT / "src" / "daleroad").glob("*.py"):
             text = path.read_text().lower()
             for word in ("x-daleroad", "/-/", "kv-move", "tenant", "daleroad_node_file"):
                 self.assertNotIn(word, text, path.name)
 
-    def test_the_settings_file_is_decoded(self) -> None:
+    def test_settings_file_is_decoded(self) -> None:
         node = read_node(NODE)
         self.assertEqual(node.seeds, ("10.0.0.1:7200", "10.0.0.2:7200"))
         self.assertEqual((node.heartbeat, node.retry_slack, node.revoke), (1.2, 64.0, 4.0))
         self.assertTrue(coordinatorprocess.make_options(node).founding)
         self.assertEqual(gatewayprocess.make_options(node).outdated_after, 4.0)
 
-    def test_a_disk_whose_loss_does_not_count_does_not_vote(self) -> None:
+    def test_vm_outside_the_tolerance_does_not_vote(self) -> None:
         self.assertEqual(coordinatorprocess.make_options(read_node(NODE)).data, "/data/x")
         spare = read_node({**NODE, "in_tolerance": False})
         self.assertEqual(coordinatorprocess.make_options(spare).data, "")
 
-    def test_a_role_loads_only_what_it_needs(self) -> None:
+    def test_role_imports_only_what_it_needs(self) -> None:
         for module, others in (
             ("gatewayprocess", ("daleroad.coordinator", "daleroad.consensus", "sqlite3")),
             ("coordinatorprocess", ("daleroad.forwarding", "daleroad.gateway")),
-            # Libraries that neither needs to serve; each takes 30 to 60 ms of a start.
+            # Libraries that neither role needs to serve; importing each takes 30 to 60 ms.
             ("gatewayprocess", ("yaml", "httpx", "prometheus_client")),
             ("coordinatorprocess", ("yaml", "httpx", "httpcore", "prometheus_client")),
         ):
