--- a/src/daleroad/fleet.py
+++ b/src/daleroad/fleet.py
@@ -1,15 +1,14 @@
-"""The upstreams that are alive, as their own heartbeats tell. Pure.
-
-An upstream's process is one *instance*, from its start to its end; it counts its heartbeats, so one
-that arrives late changes nothing. An instance that left is remembered for a while, or a late
-heartbeat would bring it back.
-
-A process that starts again may keep its name. It is another instance then, which holds and knows
-nothing of before, and the one that was born later has replaced the other for good: all that is kept
-by an instance's id (connections, loads, ejection, runs) belongs to one start. What orders two
-starts is the upstream's own clock, since nothing else tells a start from a late heartbeat. If that
-clock went back, the later start is hidden until the earlier one is forgotten: FORGET_SECONDS after
-a crash, GONE_KEPT_SECONDS after a leave.
+"""Registry of upstream instances, built from their heartbeats. Performs no I/O.
+
+An *instance* is one process of an upstream. It numbers its heartbeats, so that those that arrive
+out of order are recognised. An instance that is gone is kept for a while, so that a delayed
+heartbeat does not restore it.
+
+A restarted process may keep its name but is a new instance without the state of the previous one,
+and replaces it permanently: everything stored by instance id (connections, loads, ejection, runs)
+belongs to one start. Starts are ordered by the upstream's own clock, since nothing else tells a
+restart from a delayed heartbeat. If that clock is set back, the later start is ignored until the
+earlier one expires: MAX_HEARTBEAT_AGE_SECONDS after a crash, GONE_KEPT_SECONDS after a leave.
 """
 
 from collections.abc import Iterable, Iterator
@@ -19,179 +18,183 @@
 from daleroad.ratelimits import KnownLimit, RateLimit
 
 GONE_KEPT_SECONDS = 60.0
-"""How long an instance that left is remembered; heartbeats arrive seconds late, not minutes."""
+"""How long an instance that is gone is kept; heartbeats are delayed by seconds, not minutes."""
 
-SILENT_HEARTBEATS = 2.6
-"""Intervals after which the older of two instances at an address is taken as gone, or the younger
-as one that never came up: one heartbeat lost, one late, and the way of the news."""
+_MAX_LAG_HEARTBEATS = 2.6
+"""How far an instance's last heartbeat may lag, in heartbeat intervals, behind the newest one from
+the same address before the instance is regarded as dead. Allows for one lost heartbeat, one late
+heartbeat and the propagation delay."""
 
-FORGET_SECONDS = 20.0
-"""An instance without a heartbeat for so long is dropped; many missed heartbeats."""
+MAX_HEARTBEAT_AGE_SECONDS = 20.0
+"""An instance whose last heartbeat is older is removed."""
 
-_ORDER = list(InstanceState)
+_STATE_ORDER = list(InstanceState)
 
 
 @dataclass
-class _Known:
+class _KnownInstance:
     instance: Instance
-    first_heard_at: float
-    heard_at: float
-    warm_at: float
+    first_heartbeat_at: float
+    heartbeat_at: float
+    cold_until: float
     started_at: float
     revision: int
     limit: KnownLimit = field(default_factory=KnownLimit)
 
-    def tell(self, now: float) -> Sighting:
-        """Return the instance as others are told of it."""
-        cold = max(0.0, self.warm_at - now)
-        return Sighting(self.instance, now - self.heard_at, cold, self.limit.tell(now))
+    def make_report(self, now: float) -> Sighting:
+        """Return the report on the instance for other processes."""
+        cold = max(0.0, self.cold_until - now)
+        return Sighting(self.instance, now - self.heartbeat_at, cold, self.limit.tell(now))
 
 
 @dataclass
 class Fleet:
     """All instances known to one process.
 
-    :param heartbeat: interval of instances' heartbeats in seconds; matters only to who asks what is
-        ready.
-    :param revision: grows with each change that those who follow should know.
+    :param heartbeat: interval of the instances' heartbeats in seconds; only used to decide which of
+        several instances at one address is ready.
+    :param revision: grows with each change that has to be sent to other processes.
     """
 
     heartbeat: float = 1.0
     revision: int = 1
-    _known: dict[str, _Known] = field(default_factory=dict)
-    _youngest: dict[str, str] = field(default_factory=dict)
-    _contested: set[str] = field(default_factory=set)
+    _known: dict[str, _KnownInstance] = field(default_factory=dict)
+    _latest_ids: dict[str, str] = field(default_factory=dict)
+    _shared_addresses: set[str] = field(default_factory=set)
 
     def note(self, sighting: Sighting, now: float) -> list[Instance]:
-        """Take in news of an instance; return those of which others should know that they changed.
+        """Apply a report on an instance; return the instances whose change others need to know.
 
-        :param sighting: the instance, and how long ago it was heard.
-        :param now: the time.
+        :param sighting: the report.
+        :param now: the current time.
         """
-        changed = self._note_start(sighting, now)
+        changed = self._apply_to_latest_start(sighting, now)
         if sighting.limit is not None:
             self.note_limit(sighting.instance.id, sighting.limit, now)
         return changed
 
-    def _note_start(self, sighting: Sighting, now: float) -> list[Instance]:
-        """Take in which start of an upstream is alive, and in which state."""
-        fresh = sighting.instance
-        youngest = self._find_youngest(fresh.get_name())
-        if youngest is None or fresh.born == youngest.instance.born:
-            return [fresh] if self._take(sighting, now) else []
-        if fresh.born > youngest.instance.born:
-            replaced = self._end(youngest)
-            self._take(sighting, now)
-            return [*replaced, fresh]
-        known_then = youngest.first_heard_at <= now - sighting.age
-        if fresh.state is InstanceState.GONE and not fresh.born and known_then:
-            # A leave that doesn't say of which start it is.
-            return self._end(youngest)
+    def _apply_to_latest_start(self, sighting: Sighting, now: float) -> list[Instance]:
+        """Apply a report to the latest start of an upstream, or replace that start by a later one.
+
+        Reports on earlier starts are ignored, except a leave that names no start.
+        """
+        reported = sighting.instance
+        latest = self._find_latest_start(reported.get_name())
+        if latest is None or reported.born == latest.instance.born:
+            return [reported] if self._apply_to_start(sighting, now) else []
+        if reported.born > latest.instance.born:
+            replaced = self._mark_gone(latest)
+            self._apply_to_start(sighting, now)
+            return [*replaced, reported]
+        was_known = latest.first_heartbeat_at <= now - sighting.age
+        if reported.state is InstanceState.GONE and not reported.born and was_known:
+            # The report names no start, and the latest start was already known when it was made.
+            return self._mark_gone(latest)
         return []
 
-    def _find_youngest(self, name: str) -> _Known | None:
-        """Return the last start of an upstream, if it is known."""
-        return self._known.get(self._youngest.get(name, ""))
+    def _find_latest_start(self, name: str) -> _KnownInstance | None:
+        """Return the latest known start of an upstream."""
+        return self._known.get(self._latest_ids.get(name, ""))
 
-    def _find_start(self, name: str, born: int) -> _Known | None:
-        """Return a start of an upstream, the last one where none is named, if it is known."""
+    def _find_start(self, name: str, born: int) -> _KnownInstance | None:
+        """Return a start of an upstream if it is known; with ``born`` 0, the latest one."""
         if not born:
-            return self._find_youngest(name)
+            return self._find_latest_start(name)
         return self._known.get(make_instance_id(name, born))
 
-    def _end(self, known: _Known) -> list[Instance]:
-        """Note that an instance is gone; return it if that is news."""
-        return self._advance(known, InstanceState.GONE)
+    def _mark_gone(self, known: _KnownInstance) -> list[Instance]:
+        """Mark an instance as gone; return it if that changed its state."""
+        return self._advance_state(known, InstanceState.GONE)
 
-    def _advance(self, known: _Known, state: InstanceState) -> list[Instance]:
-        """Bring an instance into a later state; return it if that is news."""
-        if _ORDER.index(known.instance.state) >= _ORDER.index(state):
+    def _advance_state(self, known: _KnownInstance, state: InstanceState) -> list[Instance]:
+        """Move an instance to a later state; return it if that changed its state."""
+        if _STATE_ORDER.index(known.instance.state) >= _STATE_ORDER.index(state):
             return []
         known.instance = replace(known.instance, state=state)
-        self._mark(known)
+        self._mark_changed(known)
         return [known.instance]
 
-    def _mark(self, known: _Known) -> None:
-        """Note that others should hear of an instance."""
+    def _mark_changed(self, known: _KnownInstance) -> None:
+        """Give an instance a new revision, so that the change is sent to other processes."""
         self.revision += 1
         known.revision = self.revision
 
-    def _take(self, sighting: Sighting, now: float) -> bool:
-        """Take in news of the last start of an upstream; return whether it is news to others."""
-        fresh = sighting.instance
-        heard_at = now - sighting.age
-        known = self._known.get(fresh.id)
+    def _apply_to_start(self, sighting: Sighting, now: float) -> bool:
+        """Apply a report on the latest start of an upstream; return whether others need to know."""
+        reported = sighting.instance
+        heartbeat_at = now - sighting.age
+        known = self._known.get(reported.id)
         if known is None:
-            if any(k.instance.address == fresh.address for k in self._known.values()):
-                self._contested.add(fresh.address)
-            started_at = self._guess_start(fresh, heard_at)
+            if any(k.instance.address == reported.address for k in self._known.values()):
+                self._shared_addresses.add(reported.address)
+            started_at = self._estimate_start(reported, heartbeat_at)
             self.revision += 1
-            warm_at = now + sighting.cold
-            self._known[fresh.id] = _Known(
-                fresh, heard_at, heard_at, warm_at, started_at, self.revision
+            cold_until = now + sighting.cold
+            self._known[reported.id] = _KnownInstance(
+                reported, heartbeat_at, heartbeat_at, cold_until, started_at, self.revision
             )
-            self._youngest[fresh.get_name()] = fresh.id
+            self._latest_ids[reported.get_name()] = reported.id
             return True
         old = known.instance
-        known.first_heard_at = min(known.first_heard_at, heard_at)
-        known.heard_at = max(known.heard_at, heard_at)
-        known.started_at = min(known.started_at, self._guess_start(fresh, heard_at))
-        forward = _ORDER.index(fresh.state) > _ORDER.index(old.state)
-        if fresh.sequence < old.sequence and not forward:
+        known.first_heartbeat_at = min(known.first_heartbeat_at, heartbeat_at)
+        known.heartbeat_at = max(known.heartbeat_at, heartbeat_at)
+        known.started_at = min(known.started_at, self._estimate_start(reported, heartbeat_at))
+        advances = _STATE_ORDER.index(reported.state) > _STATE_ORDER.index(old.state)
+        if reported.sequence < old.sequence and not advances:
             return False
-        if not forward and fresh.state is not old.state:
+        if not advances and reported.state is not old.state:
             return False
-        known.instance = fresh
-        self._set_warm_at(known, now + sighting.cold, now)
-        changed = (fresh.state, fresh.address, fresh.service) != (
+        known.instance = reported
+        self._set_cold_until(known, now + sighting.cold, now)
+        changed = (reported.state, reported.address, reported.service) != (
             old.state,
             old.address,
             old.service,
         )
         if changed:
-            self._mark(known)
+            self._mark_changed(known)
         return changed
 
-    def _set_warm_at(self, known: _Known, warm_at: float, now: float) -> None:
-        """Note until when an instance is cold; that it has become so is news to others."""
-        if warm_at > now >= known.warm_at:
-            self._mark(known)
-        known.warm_at = warm_at
+    def _set_cold_until(self, known: _KnownInstance, cold_until: float, now: float) -> None:
+        """Set until when an instance is cold; others are told if it was warm before."""
+        if cold_until > now >= known.cold_until:
+            self._mark_changed(known)
+        known.cold_until = cold_until
 
     def note_cold(self, instance_id: str, seconds: float, now: float) -> None:
-        """Note that an instance is cold, until it says something else.
+        """Record that an instance is cold, until it reports otherwise.
 
         :param instance_id: the instance.
-        :param seconds: how much longer.
-        :param now: the time.
+        :param seconds: the remaining time in which it is cold.
+        :param now: the current time.
         """
         known = self._known.get(instance_id)
         if known is not None:
-            self._set_warm_at(known, now + seconds, now)
+            self._set_cold_until(known, now + seconds, now)
 
     def note_limit(self, instance_id: str, limit: RateLimit, now: float) -> bool:
-        """Note what an instance says of the requests that it takes; return whether that changed.
+        """Update the rate limit that an instance advertises; return whether it changed.
 
         :param instance_id: the instance.
-        :param limit: what it said, and how long ago; the newest counts.
-        :param now: the time.
+        :param limit: the reported limit and its age; reports older than the known one are ignored.
+        :param now: the current time.
         """
         known = self._known.get(instance_id)
         if known is None or not known.limit.note(limit, now):
             return False
-        self._mark(known)
+        self._mark_changed(known)
         return True
 
     def note_leaving(self, instance_id: str) -> list[Instance]:
-        """Note that an instance said that it leaves; return it if that is news.
+        """Mark an instance as leaving; return it if that changed its state.
 
         :param instance_id: the instance.
         """
         known = self._known.get(instance_id)
-        return self._advance(known, InstanceState.LEAVING) if known is not None else []
+        return self._advance_state(known, InstanceState.LEAVING) if known is not None else []
 
     def get_rate_limit(self, instance_id: str) -> float | None:
-        """Return the requests a second that an instance takes from all gateways, if it named them.
+        """Return the requests per second that an instance accepts from all gateways, if limited.
 
         :param instance_id: its id.
         """
@@ -199,36 +202,38 @@
         return known.limit.rate if known is not None else None
 
     def count_limited(self) -> int:
-        """Return how many instances that are alive name a limit on their requests."""
+        """Return how many instances that are not gone advertise a rate limit."""
         alive = (k for k in self._known.values() if k.instance.state is not InstanceState.GONE)
         return sum(known.limit.rate is not None for known in alive)
 
     def tell_limit(self, instance_id: str, now: float) -> RateLimit | None:
-        """Return the newest that an instance said of what it takes, if it ever named a limit.
+        """Return the newest report on an instance's rate limit, or None if it never had one.
 
         :param instance_id: its id.
-        :param now: the time.
+        :param now: the current time.
         """
         known = self._known.get(instance_id)
         return known.limit.tell(now) if known is not None else None
 
     def note_cold_zone(self, zone: str, seconds: float, now: float) -> None:
-        """Note that the instances of an availability zone are cold, until they say something else.
+        """Record that all instances of an availability zone are cold, until they report otherwise.
 
         :param zone: the zone.
-        :param seconds: how much longer.
-        :param now: the time.
+        :param seconds: the least remaining time in which they are cold.
+        :param now: the current time.
         """
         for known in self._known.values():
             if known.instance.zone == zone:
-                self._set_warm_at(known, max(known.warm_at, now + seconds), now)
+                self._set_cold_until(known, max(known.cold_until, now + seconds), now)
 
     def leave(self, name: str, now: float, born: int = 0) -> list[Instance]:
-        """Note that an upstream said it is gone; return the instance if that is news.
+        """Mark a start of an upstream as gone; return the instance if that changed its state.
+
+        An unknown start is recorded as gone, so that a delayed heartbeat does not add it.
 
-        :param name: what it calls itself.
-        :param now: the time.
-        :param born: which start of it; 0 for the last one that is known.
+        :param name: the upstream's name.
+        :param now: the current time.
+        :param born: start time that identifies the start; 0 for the latest known one.
         """
         known = self._find_start(name, born) or self._known.get(make_instance_id(name, born))
         if known is None:
@@ -239,17 +244,17 @@
         return self.note(Sighting(instance, 0.0), now)
 
     def is_replaced(self, instance: Instance) -> bool:
-        """Return whether a later start of the same upstream is known.
+        """Return whether the latest known start of the same upstream is another instance.
 
         :param instance: the instance.
         """
-        return self._youngest.get(instance.get_name(), instance.id) != instance.id
+        return self._latest_ids.get(instance.get_name(), instance.id) != instance.id
 
     def find(self, name: str, born: int = 0) -> Instance | None:
         """Return a start of an upstream, if it is known.
 
-        :param name: what the upstream calls itself.
-        :param born: which start; 0 for the last one.
+        :param name: the upstream's name.
+        :param born: start time that identifies the start; 0 for the latest one.
         """
         known = self._find_start(name, born)
         return known.instance if known is not None else None
@@ -259,7 +264,7 @@
         return len(self._known)
 
     def get(self, instance_id: str) -> Instance | None:
-        """Return what is known of an instance.
+        """Return an instance if it is known.
 
         :param instance_id: its id.
         """
@@ -267,23 +272,23 @@
         return known.instance if known else None
 
     def get_age(self, instance_id: str, now: float) -> float:
-        """Return the seconds since an instance's last heartbeat.
+        """Return the seconds since an instance's last heartbeat; infinity if it is unknown.
 
         :param instance_id: its id.
-        :param now: the time.
+        :param now: the current time.
         """
         known = self._known.get(instance_id)
-        return now - known.heard_at if known else float("inf")
+        return now - known.heartbeat_at if known else float("inf")
 
     def is_cold(self, instance_id: str, now: float) -> bool:
-        """Return whether an instance is still slow after its start."""
+        """Return whether an instance is still cold after its start."""
         known = self._known.get(instance_id)
-        return known is not None and now < known.warm_at
+        return known is not None and now < known.cold_until
 
     def list_ready(self, service: str) -> list[Instance]:
-        """Return the instances of a service that take new work.
+        """Return the instances of a service that accept new requests.
 
-        :param service: its name.
+        :param service: the service's name.
         """
         return [
             known.instance
@@ -293,108 +298,108 @@
             and self._holds_address(known)
         ]
 
-    def _guess_start(self, instance: Instance, heard_at: float) -> float:
-        """Return when an instance started at the latest, by the number of its heartbeats.
+    def _estimate_start(self, instance: Instance, heartbeat_at: float) -> float:
+        """Return an upper bound of an instance's start time, from the number of its heartbeats.
 
-        A heartbeat that was held up tells a start that is too late by as much; the least counts.
+        A delayed heartbeat gives an estimate that is too late; callers keep the smallest one.
         """
-        return heard_at - max(0, instance.sequence - 1) * self.heartbeat
+        return heartbeat_at - max(0, instance.sequence - 1) * self.heartbeat
 
-    def _holds_address(self, known: _Known) -> bool:
-        """Return whether an instance is the youngest that is alive at its address.
+    def _holds_address(self, known: _KnownInstance) -> bool:
+        """Return whether an instance is the last started of those alive at its address.
 
-        An instance that crashed says nothing, and its address may be used again at once; its last
+        A crashed instance sends no leave and its address may be reused at once, so its last
         heartbeats may arrive long after the first of its successor.
         """
         address = known.instance.address
-        if address not in self._contested:
+        if address not in self._shared_addresses:
             return True
         rivals = [
             other
             for other in self._known.values()
             if other.instance.address == address and other.instance.state is not InstanceState.GONE
         ]
-        newest = max(rival.heard_at for rival in rivals)
-        oldest = newest - SILENT_HEARTBEATS * self.heartbeat
-        alive = [rival for rival in rivals if rival.heard_at >= oldest]
-        told = all(rival.instance.born for rival in alive)
+        newest = max(rival.heartbeat_at for rival in rivals)
+        oldest = newest - _MAX_LAG_HEARTBEATS * self.heartbeat
+        alive = [rival for rival in rivals if rival.heartbeat_at >= oldest]
+        all_report_start = all(rival.instance.born for rival in alive)
         holder = max(
             alive,
             key=lambda rival: (
-                rival.instance.born if told else rival.started_at,
+                rival.instance.born if all_report_start else rival.started_at,
                 rival.instance.id,
             ),
         )
         return holder is known
 
     def list_sightings(self, now: float, since: float = float("-inf")) -> Iterator[Sighting]:
-        """Yield all instances, or those heard after a time, as others are told of them.
+        """Yield reports on all instances for other processes.
 
-        :param now: the time.
-        :param since: the time.
+        :param now: the current time.
+        :param since: leave out instances whose last heartbeat was before this time.
         """
         for known in self._known.values():
-            if known.heard_at >= since:
-                yield known.tell(now)
+            if known.heartbeat_at >= since:
+                yield known.make_report(now)
 
     def list_changed(self, now: float, revision: int) -> Iterator[Sighting]:
-        """Yield the instances that changed after a revision, as others are told of them.
+        """Yield reports on the instances that changed after a revision, for other processes.
 
-        :param now: the time.
-        :param revision: the revision that they know.
+        :param now: the current time.
+        :param revision: the revision that the receiver has.
         """
         for known in self._known.values():
             if known.revision > revision:
-                yield known.tell(now)
+                yield known.make_report(now)
 
     def list_ages(self, now: float, since: float = float("-inf")) -> dict[str, float]:
-        """Return the seconds since each instance was heard that has not left.
+        """Return the seconds since the last heartbeat, by id of each instance that is not gone.
 
-        :param now: the time.
-        :param since: only of those heard after this time.
+        :param now: the current time.
+        :param since: leave out instances whose last heartbeat was before this time.
         """
         return {
-            instance_id: round(now - known.heard_at, 2)
+            instance_id: round(now - known.heartbeat_at, 2)
             for instance_id, known in self._known.items()
-            if known.instance.state is not InstanceState.GONE and known.heard_at >= since
+            if known.instance.state is not InstanceState.GONE and known.heartbeat_at >= since
         }
 
     def note_all(self, sightings: Iterable[Sighting], now: float) -> list[Instance]:
-        """Take in news of many instances; return those that changed.
+        """Apply several reports; return the instances whose change others need to know.
 
-        :param sightings: the news.
-        :param now: the time.
+        :param sightings: the reports.
+        :param now: the current time.
         """
         return [instance for sighting in sightings for instance in self.note(sighting, now)]
 
     def note_ages(self, ages: dict[str, float], now: float) -> bool:
-        """Note when instances were last heard; return whether all of them are known.
+        """Update the times of last heartbeats; return whether all given instances are known.
 
-        :param ages: seconds since then by instance.
-        :param now: the time.
+        :param ages: seconds since the last heartbeat, by instance id.
+        :param now: the current time.
         """
         for instance_id, age in ages.items():
             known = self._known.get(instance_id)
             if known is not None:
-                known.heard_at = max(known.heard_at, now - age)
+                known.heartbeat_at = max(known.heartbeat_at, now - age)
         return all(instance_id in self._known for instance_id in ages)
 
     def prune(self, now: float) -> list[Instance]:
-        """Drop instances not heard of for long; return those that had not said they leave.
+        """Remove expired instances; return those that were not marked as gone.
 
-        :param now: the time.
+        :param now: the current time.
         """
         lost = []
         for instance_id, known in list(self._known.items()):
             gone = known.instance.state is InstanceState.GONE
-            limit = GONE_KEPT_SECONDS if gone else FORGET_SECONDS
-            if now - known.heard_at <= limit:
+            limit = GONE_KEPT_SECONDS if gone else MAX_HEARTBEAT_AGE_SECONDS
+            if now - known.heartbeat_at <= limit:
                 continue
             del self._known[instance_id]
-            if self._youngest.get(known.instance.get_name()) == instance_id:
-                del self._youngest[known.instance.get_name()]
+            if self._latest_ids.get(known.instance.get_name()) == instance_id:
+                del self._latest_ids[known.instance.get_name()]
             if not gone:
                 self.revision += 1
                 lost.append(known.instance)
-        self._contested &= {known.instance.address for known in self._known.values()}
+        self._shared_addresses &= {known.instance.address for known in self._known.values()}
         return lost
--- a/src/daleroad/fleetfile.py
+++ b/src/daleroad/fleetfile.py
@@ -1,9 +1,10 @@
-"""The last known upstreams on a coordinator's disk, for the first second after a restart.
+"""Persistence of the instance registry on a coordinator's disk, for use after a restart.
 
-Who is alive is not replicated: heartbeats tell it anew within an interval. Where all coordinators
-were down at once, nobody knows any upstream until then, and gateways refuse what they are sent. A
-list that may be seconds old is enough to begin with: its upstreams get less work until they are
-heard, none soon after, and each request names the instance that it is for.
+The registry is not replicated, since heartbeats rebuild it within one interval. After a restart of
+all coordinators no upstream would be known until then, and gateways would refuse all requests. A
+list that is a few seconds old bridges that time: its upstreams count as overdue and get fewer
+requests until their next heartbeat arrives, and soon none if it doesn't. Each request names the
+instance that it is for, in case another process has taken over the address.
 """
 
 from pathlib import Path
@@ -18,30 +19,30 @@
 from daleroad.keptfile import keep_file, read_file
 
 RECOVERED_HEARTBEATS = 1.75
-"""Age of what was read, in heartbeats: overdue, so that those that are heard get more work, and for
-most of one heartbeat not doubtful yet. Were they, the first few that are heard would get all work:
-in one restart of all processes three of nine engines got 21 of 25 streams, 11 of them late."""
+"""Age in heartbeat intervals that is assumed for the instances read from disk. They are overdue, so
+that instances with a fresh heartbeat get more requests, but do not become doubtful for most of an
+interval; otherwise the first few instances heard would get all requests."""
 
 
-_NAME = "fleet.json"
+_FILE_NAME = "fleet.json"
 
 
 class FleetKeeper:
-    """Keeps a fleet on a disk.
+    """Saves and restores a coordinator's instance registry.
 
-    :param folder: where.
-    :param fleet: what is kept.
+    :param folder: directory of the file.
+    :param fleet: the registry.
     :param heartbeat: interval of upstreams' heartbeats in seconds.
     """
 
     def __init__(self, folder: Path, fleet: Fleet, heartbeat: float) -> None:
-        self._age = RECOVERED_HEARTBEATS * heartbeat
-        self._path = folder / _NAME
+        self._assumed_age = RECOVERED_HEARTBEATS * heartbeat
+        self._path = folder / _FILE_NAME
         self._fleet = fleet
 
     def recover(self) -> None:
-        """Begin with the upstreams that were known before the restart."""
-        found = load_fleet(self._path, self._age)
+        """Load the upstreams that were known before the restart."""
+        found = load_fleet(self._path, self._assumed_age)
         if isinstance(found, Failure):
             log_event(Event.FLEET_NOT_KEPT, reason=found.reason)
             return
@@ -49,7 +50,7 @@
         log_event(Event.FLEET_RECOVERED, instances=len(found))
 
     async def run(self) -> None:
-        """Write the known upstreams down whenever they changed, until cancelled."""
+        """Save the known upstreams after each change, until cancelled."""
         fleet = self._fleet
         await keep_file(
             self._path, lambda: fleet.revision, self._dump, Event.FLEET_NOT_KEPT, kept=0
@@ -60,18 +61,18 @@
 
 
 def dump_fleet(sightings: tuple[Sighting, ...]) -> bytes:
-    """Return a list of instances as it is written.
+    """Return the content of the file for a list of instances.
 
-    :param sightings: all instances, also those that left.
+    :param sightings: reports on all instances, including those that are gone.
     """
     return encode(sightings, tuple[Sighting, ...])
 
 
 def load_fleet(path: Path, age: float) -> tuple[Sighting, ...] | Failure:
-    """Return what the list holds, or why it can't be read.
+    """Return the instances in a file, or a failure if it can't be read.
 
     :param path: the file.
-    :param age: seconds since its upstreams were heard, as is assumed.
+    :param age: assumed seconds since the last heartbeat of each instance.
     """
     body = read_file(path)
     found = body if isinstance(body, Failure) else decode(tuple[Sighting, ...], body)
--- a/src/daleroad/instances.py
+++ b/src/daleroad/instances.py
@@ -1,4 +1,4 @@
-"""One process of an upstream, from its start to its end, as it describes itself."""
+"""Data types that describe one process of an upstream and its reported state."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class InstanceState(StrEnum):
-    """How far an instance is on its way; states only go forward."""
+    """Lifecycle states of an instance, in order; an instance never returns to an earlier one."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True)
 class Instance:
-    """One process of an upstream, as it describes itself.
+    """One process of an upstream, as its heartbeats describe it.
 
-    :param id: tells it from all other starts, as :func:`make_instance_id` returns it.
-    :param sequence: number of the heartbeat that said so.
-    :param slots: requests that it works on at a time.
-    :param name: what it calls itself, if that is not its id; it may start again under this name.
-    :param born: when it started, in milliseconds since 1970 by its own clock; 0 if it does not say.
+    :param id: identifies this start of the upstream; made by :func:`make_instance_id`.
+    :param sequence: number of the heartbeat that this description is from.
+    :param slots: requests that it runs concurrently.
+    :param name: the upstream's name, which stays the same across restarts; empty if it is the id.
+    :param born: start time in milliseconds since the epoch, by its own clock; 0 if not reported.
     """
 
     id: str
@@ -36,26 +36,26 @@
     born: int = 0
 
     def get_name(self) -> str:
-        """Return what the upstream calls itself."""
+        """Return the upstream's name."""
         return self.name or self.id
 
 
 def make_instance_id(name: str, born: int) -> str:
     """Return the id of one start of an upstream.
 
-    :param name: what it calls itself.
-    :param born: when it started, in milliseconds since 1970; 0 if it does not say.
+    :param name: the upstream's name.
+    :param born: start time in milliseconds since the epoch; 0 if not reported.
     """
     return f"{name}@{born}" if born else name
 
 
 @dataclass(frozen=True)
 class Sighting:
-    """An instance as one process tells another of it, with ages instead of times.
+    """A report on an instance between processes, with ages, since each has its own clock.
 
     :param age: seconds since its last heartbeat.
     :param cold: seconds for which it will still be slow after its start.
-    :param limit: the newest that it said of what it takes, if it ever named a limit.
+    :param limit: the newest report on its rate limit, or None if it never had one.
     """
 
     instance: Instance
--- a/src/daleroad/roster.py
+++ b/src/daleroad/roster.py
@@ -1,77 +1,78 @@
-"""The leader's view of the entries: their leases and what each has applied. Pure."""
+"""The leader's record of entries' leases and applied revisions. Performs no I/O."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
-class _Seen:
+class _EntryStatus:
     revision: int
-    at: float
+    renewed_at: float
 
 
 class Roster:
-    """Leases that this leader gave, since it began to lead.
+    """Leases that this leader has granted to entries since its election.
 
-    :param lease_seconds: how long an entry may serve after an answer.
-    :param since: when this leader began; until a lease later, entries may hold leases of its
-        predecessor.
+    :param lease_seconds: how long an entry may serve after the leader's answer.
+    :param since: when this leader took over; for the length of a lease from then on, entries may
+        still hold leases from its predecessor.
     """
 
     def __init__(self, lease_seconds: float, since: float) -> None:
         self.lease_seconds = lease_seconds
         self.since = since
-        self._seen: dict[str, _Seen] = {}
+        self._statuses: dict[str, _EntryStatus] = {}
 
     def follow(self, name: str, revision: int, now: float) -> None:
-        """Note that an entry asked, and so renew its lease.
+        """Renew an entry's lease on its follow request.
 
         :param name: the entry.
-        :param revision: what it has applied.
-        :param now: the time of the answer, so that the lease ends here no sooner than there.
+        :param revision: the revision that the entry has applied.
+        :param now: the time of the answer, so that the lease does not end sooner on the leader
+            than on the entry.
         """
-        self._seen[name] = _Seen(revision, now)
+        self._statuses[name] = _EntryStatus(revision, now)
 
     def note_applied(self, name: str, revision: int) -> None:
-        """Note what an entry says it has applied, without renewing its lease.
+        """Record the revision that an entry has applied, without renewing its lease.
 
         :param name: the entry.
-        :param revision: what it has applied.
+        :param revision: the revision.
         """
-        seen = self._seen.get(name)
-        self._seen[name] = _Seen(revision, seen.at if seen else self.since)
+        status = self._statuses.get(name)
+        self._statuses[name] = _EntryStatus(revision, status.renewed_at if status else self.since)
 
     def forget(self, name: str) -> None:
-        """Forget an entry that left.
+        """Remove an entry that left.
 
         :param name: the entry.
         """
-        self._seen.pop(name, None)
+        self._statuses.pop(name, None)
 
     def list_expired(self, names: Iterable[str], now: float) -> Iterator[str]:
-        """Yield the entries whose lease has run out.
+        """Yield the entries whose lease has expired.
 
         :param names: all entries in the membership.
-        :param now: the time.
+        :param now: the current time.
         """
         return (name for name in names if self._get_expiry(name) <= now)
 
     def is_in_force(self, revision: int, names: Iterable[str], now: float) -> bool:
-        """Return whether each entry applied a revision or can't serve without it.
+        """Return whether each entry has applied a revision or has no valid lease any more.
 
         :param revision: the revision.
         :param names: all entries in the membership.
-        :param now: the time.
+        :param now: the current time.
         """
-        known = set(names) | set(self._seen)
+        known = set(names) | set(self._statuses)
         return all(self._has_applied(name, revision, now) for name in known)
 
     def _has_applied(self, name: str, revision: int, now: float) -> bool:
-        seen = self._seen.get(name)
-        if seen is not None and seen.revision >= revision:
+        status = self._statuses.get(name)
+        if status is not None and status.revision >= revision:
             return True
         return self._get_expiry(name) <= now
 
     def _get_expiry(self, name: str) -> float:
-        seen = self._seen.get(name)
-        return (seen.at if seen else self.since) + self.lease_seconds
+        status = self._statuses.get(name)
+        return (status.renewed_at if status else self.since) + self.lease_seconds
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from random import Random
 
-from daleroad.fleet import FORGET_SECONDS, GONE_KEPT_SECONDS, Fleet
+from daleroad.fleet import GONE_KEPT_SECONDS, MAX_HEARTBEAT_AGE_SECONDS, Fleet
 from daleroad.instances import Instance, InstanceState, Sighting
 
 READY = Instance("i", "s", "1:1", "z", 4, InstanceState.READY, 5)
@@ -51,8 +51,8 @@
 
     def test_silence_forgets_the_living_and_later_the_gone(self) -> None:
         self.fleet.leave("j", 100.0)
-        self.assertEqual(self.fleet.prune(100.0 + FORGET_SECONDS), [])
-        self.assertEqual([i.id for i in self.fleet.prune(100.1 + FORGET_SECONDS)], ["i"])
+        self.assertEqual(self.fleet.prune(100.0 + MAX_HEARTBEAT_AGE_SECONDS), [])
+        self.assertEqual([i.id for i in self.fleet.prune(100.1 + MAX_HEARTBEAT_AGE_SECONDS)], ["i"])
         self.assertIsNotNone(self.fleet.get("j"))
         self.fleet.prune(100.1 + GONE_KEPT_SECONDS)
         self.assertIsNone(self.fleet.get("j"))
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from daleroad.fleet import FORGET_SECONDS, Fleet
+from daleroad.fleet import MAX_HEARTBEAT_AGE_SECONDS, Fleet
 from daleroad.instances import Instance, InstanceState, Sighting, make_instance_id
 from daleroad.routing import Repeat
 from tests.fakes import FakeDispatcher, make_config, make_gateway
@@ -73,7 +73,7 @@
 
     def test_a_clock_that_went_back_hides_a_start_until_the_one_before_is_forgotten(self) -> None:
         earlier = make_start(BORN - 3000)
-        for second in range(int(FORGET_SECONDS) + 3):
+        for second in range(int(MAX_HEARTBEAT_AGE_SECONDS) + 3):
             now = 101.0 + second
             self.fleet.prune(now)
             self.fleet.note(Sighting(replace(earlier, sequence=second + 1), 0.0), now)
