--- a/src/daleroad/directory.py
+++ b/src/daleroad/directory.py
@@ -1,4 +1,7 @@
-"""Who serves what, derived from the catalog: stewards, upstreams of a service, routes. Pure."""
+"""Lookups in the catalog: stewards, a service's upstreams, organisations and routes.
+
+Performs no I/O.
+"""
 
 from collections.abc import Iterable
 
@@ -9,7 +12,7 @@
 
 
 def get_weight(*parts: str) -> int:
-    """Return the rendezvous weight of a combination of names.
+    """Return the rendezvous hashing weight of a combination of names.
 
     :param parts: the names.
     """
@@ -17,9 +20,9 @@
 
 
 def pick_steward(entries: Iterable[EntryMember], upstream: Upstream) -> EntryMember | None:
-    """Return the entry that admits work to an upstream, by rendezvous hashing.
+    """Return the entry that admits requests to an upstream, chosen by rendezvous hashing.
 
-    Entries in the upstream's availability zone go first.
+    Entries in the upstream's availability zone are preferred.
 
     :param entries: the membership.
     :param upstream: the upstream.
@@ -28,7 +31,7 @@
 
 
 class Stewards:
-    """The entries that may be stewards, by availability zone.
+    """The serving entries, which may be stewards, by availability zone.
 
     :param entries: the membership.
     """
@@ -40,7 +43,7 @@
             self._by_zone.setdefault(entry.zone, []).append(entry)
 
     def pick(self, upstream: Upstream) -> EntryMember | None:
-        """Return the steward of an upstream, or nothing without entries.
+        """Return the steward of an upstream, or None if no entry serves.
 
         :param upstream: the upstream.
         """
@@ -49,73 +52,73 @@
 
 
 def pick_split(splits: tuple[Split, ...], sticky: str) -> str:
-    """Return a route's model version by weight, the same for the same text.
+    """Return a route's model version, drawn by weight; always the same for the same key.
 
     :param splits: the versions with weights.
-    :param sticky: what the choice sticks to.
+    :param sticky: key of the choice.
     """
     total = sum(split.weight for split in splits)
-    point = get_weight("split", sticky) / 2**64 * total
+    remaining_weight = get_weight("split", sticky) / 2**64 * total
     for split in splits:
-        point -= split.weight
-        if point < 0:
+        remaining_weight -= split.weight
+        if remaining_weight < 0:
             return split.model
     return splits[-1].model if splits else ""
 
 
 class Directory:
-    """An index of a catalog's membership, rebuilt when that changed.
+    """Index of a catalog's membership, rebuilt after it changed.
 
     :param catalog: the catalog.
     """
 
     def __init__(self, catalog: Catalog) -> None:
         self.catalog = catalog
-        self._indexed = (-1, -1)
-        self._choices = Stewards(())
+        self._indexed_version = (-1, -1)
+        self._candidates = Stewards(())
         self._by_service: dict[str, list[Upstream]] = {}
         self._stewards: dict[str, EntryMember | None] = {}
 
     def refresh(self) -> None:
-        """Rebuild what changes of the membership made stale."""
+        """Rebuild the index if the membership changed."""
         current = (self.catalog.epoch, self.catalog.placed)
-        if self._indexed == current:
+        if self._indexed_version == current:
             return
-        self._indexed = current
-        self._choices = Stewards(self.catalog.entries.values())
+        self._indexed_version = current
+        self._candidates = Stewards(self.catalog.entries.values())
         self._stewards = {}
         self._by_service = {}
         for upstream in self.catalog.upstreams.values():
             self._by_service.setdefault(upstream.service, []).append(upstream)
 
     def get_steward(self, upstream: str) -> EntryMember | None:
-        """Return the steward of an upstream in the membership.
+        """Return the steward of an upstream, or None if the upstream is not in the membership.
 
         :param upstream: its name.
         """
         self.refresh()
         if upstream not in self._stewards:
-            found = self.catalog.upstreams.get(upstream)
-            self._stewards[upstream] = self.pick_steward_of(found) if found else None
+            member = self.catalog.upstreams.get(upstream)
+            self._stewards[upstream] = self.pick_steward_of(member) if member else None
         return self._stewards[upstream]
 
     def pick_steward_of(self, upstream: Upstream) -> EntryMember | None:
-        """Return the steward that an upstream gets, in the membership or not.
+        """Return the steward of an upstream, whether or not that is in the membership.
 
         :param upstream: the upstream.
         """
         self.refresh()
-        return self._choices.pick(upstream)
+        return self._candidates.pick(upstream)
 
     def find_organisation(self, token_hash: str) -> Organisation | None:
-        """Return the organisation whose token has a hash.
+        """Return the organisation with a token hash.
 
-        :param token_hash: the hash.
+        :param token_hash: SHA-256 of the token in hex.
         """
         return self.catalog.by_token.get(token_hash)
 
     def get_route(self, name: str, partner: str) -> Route | None:
-        """Return a partner's route or nothing.
+        """Return a partner's route, or None if it has none of that name.
 
         :param name: the route.
         :param partner: the partner.
--- a/src/daleroad/location.py
+++ b/src/daleroad/location.py
@@ -1,4 +1,4 @@
-"""Which entries a caller should use. Pure."""
+"""Selection of the entry addresses in a locate answer. Performs no I/O."""
 
 from collections.abc import Iterable
 from random import Random
@@ -6,30 +6,31 @@
 from daleroad.defaults import LOCATE_MOST
 from daleroad.records import EntryMember, State
 
-_MOST = 16
+_MAX_ADDRESSES = 16
 
 
 def pick_addresses(
     entries: Iterable[EntryMember], zone: str, most: int, random: Random
 ) -> list[str]:
-    """Return addresses of serving entries: first of the caller's zone, then of others.
+    """Return addresses of serving entries: those in the caller's zone first, then others.
 
-    Within a zone the order is drawn anew for each answer, so that callers spread. The last
-    address is of another zone when there is one, so that a lost zone leaves a way.
+    Both groups are in random order, which spreads callers over the entries. Unless only one address
+    is asked for, the last one is outside the caller's zone if there is such an entry, so that a
+    caller can still connect after the loss of its zone.
 
     :param entries: the membership.
     :param zone: the caller's availability zone, or empty.
-    :param most: how many to return at most; 0 for the default.
-    :param random: source of the order.
+    :param most: maximum number of addresses; 0 for the default.
+    :param random: source of randomness.
     """
-    limit = min(most or LOCATE_MOST, _MOST)
-    near: list[str] = []
-    far: list[str] = []
+    limit = min(most or LOCATE_MOST, _MAX_ADDRESSES)
+    same_zone: list[str] = []
+    other_zones: list[str] = []
     for entry in entries:
         if entry.state is State.SERVING:
-            (near if entry.zone == zone else far).append(entry.address)
-    first = random.sample(near, min(limit, len(near)))
-    if far and len(first) >= limit > 1:
-        first.pop()
-    rest = random.sample(far, min(limit - len(first), len(far)))
-    return first + rest
+            (same_zone if entry.zone == zone else other_zones).append(entry.address)
+    selected = random.sample(same_zone, min(limit, len(same_zone)))
+    if other_zones and len(selected) >= limit > 1:
+        selected.pop()
+    rest = random.sample(other_zones, min(limit - len(selected), len(other_zones)))
+    return selected + rest
