--- a/src/daleroad/evacuationcommands.py
+++ b/src/daleroad/evacuationcommands.py
@@ -1,4 +1,4 @@
-"""Commands about evacuated availability zones: list, begin, end."""
+"""Operator commands that list, begin and end evacuations of availability zones."""
 
 import json
 
@@ -11,18 +11,18 @@
 
 
 class EvacuationCommands:
-    """Zones whose upstreams get nothing. The secret of our processes is in DALEROAD_SECRET."""
+    """Evacuated availability zones. Set DALEROAD_SECRET to the processes' secret."""
 
     def list(self, coordinator: str) -> None:
-        """Print the evacuated zones and the orders that led there, one JSON object a line.
+        """Print the evacuated zones and the newest orders, one JSON object per line.
 
         Args:
-            coordinator: IP:PORT where our processes call it.
+            coordinator: IP:PORT of its internal API.
         """
-        known = ask_coordinator(coordinator, "evacuations", b"{}", Evacuations)
-        for zone in known.current.zones:
+        state = ask_coordinator(coordinator, "evacuations", b"{}", Evacuations)
+        for zone in state.current.zones:
             print(json.dumps({"zone": zone, "evacuated_now": True}))
-        for change in known.history:
+        for change in state.history:
             order = change.order
             row = {
                 "zone": order.zone,
@@ -36,26 +36,26 @@
 
     @SetParseFn(str, "zone")
     def begin(self, coordinator: str, zone: str) -> None:
-        """Send nothing more to the upstreams of a zone; returns once a majority has the order.
+        """Send no more requests to a zone's upstreams; returns once a majority has the order.
 
         Args:
-            coordinator: IP:PORT where our processes call it.
+            coordinator: IP:PORT of its internal API.
             zone: the availability zone.
         """
-        _order(coordinator, zone, True)
+        _send_order(coordinator, zone, True)
 
     @SetParseFn(str, "zone")
     def end(self, coordinator: str, zone: str) -> None:
-        """Take the order to evacuate a zone back; returns once a majority has that.
+        """End the evacuation of a zone; returns once a majority has the order.
 
         Args:
-            coordinator: IP:PORT where our processes call it.
+            coordinator: IP:PORT of its internal API.
             zone: the availability zone.
         """
-        _order(coordinator, zone, False)
+        _send_order(coordinator, zone, False)
 
 
-def _order(coordinator: str, zone: str, evacuated: bool) -> None:
-    asked = encode(EvacuateRequest(zone, evacuated))
-    answer = ask_coordinator(coordinator, "evacuate", asked, EvacuatedZones)
+def _send_order(coordinator: str, zone: str, evacuated: bool) -> None:
+    request = encode(EvacuateRequest(zone, evacuated))
+    answer = ask_coordinator(coordinator, "evacuate", request, EvacuatedZones)
     print(json.dumps({"zones": answer.zones, "version": answer.version}))
--- a/src/daleroad/evacuations.py
+++ b/src/daleroad/evacuations.py
@@ -1,23 +1,23 @@
-"""Availability zones whose upstreams get nothing more, by an operator's order. Pure.
+"""Replicated state of availability zones that operators evacuated. Performs no I/O.
 
-The orders are entries of the coordinators' replicated log, so that their sequence is the log's and
-what was acknowledged outlives each loss that the log outlives. Everybody goes by the newest state
-that is known; states are compared by the log index of the order that made them.
+Upstreams in an evacuated zone get no requests. The orders are entries in the coordinators'
+replicated log, which gives their sequence and their durability. Processes use the newest state that
+they know; states are compared by the log index of the order that produced them.
 """
 
 from dataclasses import dataclass, replace
 
-HISTORY_MOST = 64
-"""Orders that the record remembers for operators; a zone is evacuated a few times a month."""
+MAX_HISTORY = 64
+"""Number of orders kept for operators to list; a zone is evacuated a few times a month."""
 
 
 @dataclass(frozen=True)
 class ZoneOrder:
-    """An operator's order to send nothing more to a zone's upstreams, or to take that back.
+    """An operator's order to stop sending requests to a zone's upstreams, or to resume.
 
-    :param evacuated: whether the zone gets nothing from now on.
-    :param at: when a coordinator took the order, in seconds since 1970 by its clock.
-    :param by: that coordinator.
+    :param evacuated: True to evacuate the zone, False to end its evacuation.
+    :param at: when a coordinator received the order, in seconds since the epoch by its clock.
+    :param by: name of that coordinator.
     """
 
     zone: str
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True)
 class EvacuatedZones:
-    """The zones whose upstreams get nothing, as of one place in the log.
+    """The zones that are evacuated as of a log index.
 
-    :param version: log index of the newest order that changed something; 0 for none yet.
-    :param at: when that order was taken, in seconds since 1970 by a coordinator's clock.
+    :param version: log index of the newest order that changed the zones; 0 if none has.
+    :param at: when a coordinator received that order, in seconds since the epoch by its clock.
     """
 
     version: int = 0
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class ZoneChange:
-    """An order that changed something.
+    """An order that changed the evacuated zones.
 
     :param index: its index in the log.
     """
@@ -52,25 +52,27 @@
 
 @dataclass(frozen=True)
 class Evacuations:
-    """The evacuated zones, and the orders that led there.
+    """The evacuated zones, with a history of orders.
 
-    :param history: the newest orders that changed something, the oldest first.
+    :param history: the newest orders that changed the zones, oldest first; at most MAX_HISTORY.
     """
 
     current: EvacuatedZones = EvacuatedZones()
     history: tuple[ZoneChange, ...] = ()
 
     def apply(self, index: int, order: ZoneOrder) -> "Evacuations":
-        """Return the state after a committed order; one that changes nothing leaves no trace.
+        """Return the state after a committed order.
 
-        :param index: its index in the log. A member that starts anew from its disk applies entries
-            again that its state has already.
+        An order that changes nothing is not recorded.
+
+        :param index: its index in the log. Indexes up to the current version are ignored, since a
+            member that restarts from its disk applies entries again.
         :param order: the order.
         """
         known = self.current
         if index <= known.version or (order.zone in known.zones) == order.evacuated:
             return self
-        rest = tuple(zone for zone in known.zones if zone != order.zone)
-        zones = tuple(sorted((*rest, order.zone))) if order.evacuated else rest
-        history = (*self.history, ZoneChange(index, order))[-HISTORY_MOST:]
+        other_zones = tuple(zone for zone in known.zones if zone != order.zone)
+        zones = tuple(sorted((*other_zones, order.zone))) if order.evacuated else other_zones
+        history = (*self.history, ZoneChange(index, order))[-MAX_HISTORY:]
         return replace(self, current=EvacuatedZones(index, zones, order.at), history=history)
--- a/src/daleroad/services.py
+++ b/src/daleroad/services.py
@@ -1,4 +1,8 @@
-"""Calls to plain services: any method below /services/NAME/, repeated only where allowed."""
+"""Proxy for HTTP calls to plain services, at /services/ROUTE/; retries only where allowed.
+
+Calls that may be repeated are retried on other upstreams. Others run at most once per idempotency
+key, by a claim in the claim journal.
+"""
 
 import base64
 from dataclasses import dataclass
@@ -23,15 +27,15 @@
 from daleroad.serving import Answer, Request, Response
 
 _IDEMPOTENT = ("GET", "HEAD", "OPTIONS")
-_TRIES = 4
+_MAX_ATTEMPTS = 4
 _DROPPED_HEADERS = ("host", "authorization", "content-length", "connection", "transfer-encoding")
 
 
 @dataclass(frozen=True)
 class _Call:
-    """A call with what it is known by.
+    """A call with its route and its sender.
 
-    :param rest: the path behind the route.
+    :param rest: the path after the route's name.
     """
 
     request: Request
@@ -40,16 +44,16 @@
     organisation: Organisation
 
     def find_fingerprint(self) -> str:
-        """Return what the request is known by, sent again."""
+        """Return the fingerprint, which is the same when the request is sent again."""
         path = f"{self.request.method} {self.rest}?{self.request.query}"
         return find_call_fingerprint(self.organisation, self.route, path, self.request.body)
 
 
 class PlainCalls:
-    """Serves calls to plain services.
+    """Forwards calls to plain services.
 
     :param env: the entry's environment.
-    :param holding: knows which requests reach no upstream.
+    :param holding: decides which suspected poison requests are held.
     """
 
     def __init__(self, env: Environment, holding: Holding) -> None:
@@ -69,7 +73,7 @@
         name, _, rest = request.tail.partition("/")
         route = env.directory.get_route(name, organisation.partner)
         if route is None or route.models:
-            return Failure(FailureKind.UNKNOWN_ROUTE, f"no plain route {name}")
+            return Failure(FailureKind.UNKNOWN_ROUTE, f"no route {name} to a plain service")
         deadline = parse_deadline(request, route, anyio.current_time())
         if isinstance(deadline, Failure):
             return deadline
@@ -90,9 +94,9 @@
         deadline: float,
     ) -> Answer:
         self._env.budget.note_try()
-        answer: Answer = _no_upstream(route)
+        answer: Answer = _make_no_upstream_failure(route)
         ran = Ran.NO
-        for attempt in range(_TRIES):
+        for attempt in range(_MAX_ATTEMPTS):
             upstream = self._pick(route, attempt)
             if upstream is None:
                 return answer
@@ -101,8 +105,8 @@
             if not isinstance(answer, Failure):
                 return answer
             ran = answer.ran if answer.ran is not Ran.NO else ran
-            late = anyio.current_time() >= deadline
-            if late or not self._env.budget.take():
+            is_late = anyio.current_time() >= deadline
+            if is_late or not self._env.budget.take():
                 break
             await anyio.sleep(get_backoff(attempt, self._env.random))
         assert isinstance(answer, Failure)
@@ -119,10 +123,10 @@
     ) -> Answer:
         upstream = self._pick(route, 0)
         if upstream is None:
-            return await self._refuse_unplaced(request, route, organisation, key)
+            return await self._answer_without_upstream(request, route, organisation, key)
         secret = self._env.settings.cluster_secret
         generation = make_generation(upstream.name, organisation.name, secret)
-        digest = _hash(request)
+        digest = _hash_call(request)
         name = organisation.name
         outcome = await self._claims.acquire(name, key, digest, upstream.name, generation)
         refused = outcome if isinstance(outcome, Failure) else outcome.failure
@@ -136,24 +140,27 @@
         await self._settle(answer, name, key, generation)
         return answer
 
-    async def _refuse_unplaced(
+    async def _answer_without_upstream(
         self, request: Request, route: Route, organisation: Organisation, key: str
     ) -> Answer:
-        """Refuse a call without an upstream; an earlier try under its key may have run."""
-        outcome = await self._claims.look(organisation.name, key, _hash(request))
+        """Answer a call for which there is no upstream from its claim, or else refuse it.
+
+        An earlier attempt with the same key may have run.
+        """
+        outcome = await self._claims.look(organisation.name, key, _hash_call(request))
         if isinstance(outcome, Failure):
             return refuse_unclaimed(outcome)
         if outcome.failure is not None:
             return outcome.failure
-        return _answer_claimed(outcome.claim) if outcome.claim else _no_upstream(route)
+        return _answer_claimed(outcome.claim) if outcome.claim else _make_no_upstream_failure(route)
 
     async def _settle(self, answer: Answer, name: str, key: str, generation: str) -> None:
         if isinstance(answer, Failure) and answer.ran is Ran.NO:
             await self._claims.release(name, key, generation)
             return
         if isinstance(answer, Response):
-            kept = _record(answer)
-            self._env.spawn(self._claims.settle, name, key, generation, ClaimState.DONE, kept)
+            encoded = _encode_response(answer)
+            self._env.spawn(self._claims.settle, name, key, generation, ClaimState.DONE, encoded)
             return
         await self._claims.settle(name, key, generation, ClaimState.UNKNOWN, "")
 
@@ -172,7 +179,7 @@
     async def _send_unless_held(
         self, call: "_Call", upstream: Upstream, deadline: float
     ) -> Response | Failure:
-        """Send a call, and note what it tells of the request that it carries."""
+        """Send a call unless it is held; record a complete response or the loss of its upstream."""
         fingerprint = call.find_fingerprint()
         held = self._holding.find_refusal(fingerprint)
         if held is not None:
@@ -193,51 +200,56 @@
         query = f"?{request.query}" if request.query else ""
         url = f"{upstream.address}/{rest}{query}"
         headers = {k: v for k, v in request.headers.items() if k not in _DROPPED_HEADERS}
-        limit = max(0.05, deadline - anyio.current_time())
+        timeout = max(0.05, deadline - anyio.current_time())
         failure: Failure
         env.ejector.take_trial(upstream.name, anyio.current_time())
         try:
-            with anyio.fail_after(limit):
+            with anyio.fail_after(timeout):
                 response = await env.links.urgent.request(
                     request.method, url, content=request.body, headers=headers
                 )
-            self._note(upstream, response.status_code < 500)
+            self._record_result(upstream, response.status_code < 500)
             content_type = response.headers.get("content-type", "application/octet-stream")
             return Response(response.status_code, response.content, content_type)
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
             failure = Failure(FailureKind.UPSTREAM_LOST, f"{error!r}", Ran.NO, 1.0)
         except TimeoutError:
-            failure = self._make_late()
+            failure = self._make_timeout_failure()
         except httpx.HTTPError as error:
             failure = Failure(FailureKind.UPSTREAM_LOST, f"{error!r}", Ran.UNKNOWN, 1.0)
-        self._note(upstream, False)
+        self._record_result(upstream, False)
         return failure
 
-    def _make_late(self) -> Failure:
-        """Return why a call was given up: this entry's end or its own deadline."""
+    def _make_timeout_failure(self) -> Failure:
+        """Return the failure of a call that timed out: a shutdown of this entry or its deadline."""
         if anyio.current_time() >= self._env.ends_at - LAST_ANSWER_SECONDS:
             return make_leaving(Ran.UNKNOWN)
-        return Failure(FailureKind.DEADLINE, "no answer in time", Ran.UNKNOWN, 1.0)
-
-    def _note(self, upstream: Upstream, ok: bool) -> None:
+        return Failure(
+            FailureKind.DEADLINE,
+            "the upstream did not answer before the deadline",
+            Ran.UNKNOWN,
+            1.0,
+        )
+
+    def _record_result(self, upstream: Upstream, ok: bool) -> None:
         env = self._env
         among = len(env.directory.list_upstreams(upstream.service, ""))
         env.ejector.note(upstream.name, ok, among, anyio.current_time())
 
 
-def _hash(request: Request) -> str:
-    """Return what tells a call from another one under the same key."""
+def _hash_call(request: Request) -> str:
+    """Return a hash that tells different calls with the same idempotency key apart."""
     text = f"{request.method} {request.path}?{request.query}\x00"
     return xxh3_128_hexdigest(text.encode() + request.body)
 
 
-def _no_upstream(route: Route) -> Failure:
-    reason = f"no upstream of {route.service}"
+def _make_no_upstream_failure(route: Route) -> Failure:
+    reason = f"no upstream of {route.service} is available"
     return Failure(FailureKind.NO_UPSTREAM, reason, retry_after=2.0)
 
 
-def _record(response: Response) -> str:
-    """Return a response as text for the claim journal, or nothing if it is too large."""
+def _encode_response(response: Response) -> str:
+    """Return a response as text for the claim journal, or an empty text if it is too large."""
     if len(response.body) > CLAIM_ANSWER_BYTES // 2:
         return ""
     body = base64.b64encode(response.body).decode()
@@ -245,15 +257,15 @@
 
 
 def _answer_claimed(claim: Claim) -> Answer:
-    """Answer a call whose key was claimed by an earlier try."""
+    """Return the answer to a call whose key is claimed by an earlier attempt."""
     if claim.state is ClaimState.DONE and claim.answer:
         status, body, content_type = orjson.loads(claim.answer)
         return Response(status, base64.b64decode(body), content_type)
     if claim.state is ClaimState.DONE:
-        reason = "an earlier try ran; its answer is not kept"
+        reason = "an earlier attempt with this key ran; its answer was not stored"
         return Failure(FailureKind.ALREADY_RAN, reason, Ran.YES)
     if claim.state is ClaimState.UNKNOWN:
-        reason = "an earlier try was lost; it is not known whether it ran"
+        reason = "an earlier attempt with this key was lost; it may have run"
         return Failure(FailureKind.ALREADY_RAN, reason, Ran.UNKNOWN)
-    reason = "an earlier try holds this key"
+    reason = "an earlier attempt with this key is recorded as running"
     return Failure(FailureKind.KEY_RUNNING, reason, Ran.UNKNOWN, 1.0)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -25,7 +25,7 @@
 from daleroad.dispatch import Attempt, CopyFault, NotCopied, NotRun, Source, Whole
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.evacuationcommands import EvacuationCommands
-from daleroad.evacuations import HISTORY_MOST, EvacuatedZones, Evacuations, ZoneOrder
+from daleroad.evacuations import MAX_HISTORY, EvacuatedZones, Evacuations, ZoneOrder
 from daleroad.fleet import Fleet
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, Sighting
@@ -74,8 +74,8 @@
         self.assertEqual(once, again)
 
     def test_the_history_is_bounded(self) -> None:
-        orders = [ZoneOrder("a", bool(n % 2)) for n in range(1, 4 * HISTORY_MOST)]
-        self.assertEqual(len(self.apply(orders).history), HISTORY_MOST)
+        orders = [ZoneOrder("a", bool(n % 2)) for n in range(1, 4 * MAX_HISTORY)]
+        self.assertEqual(len(self.apply(orders).history), MAX_HISTORY)
 
     @given(ORDERS, st.data())
     def test_entries_that_are_applied_again_change_nothing(
