--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of evacuated availability zones: the orders in the log, how they spread, what they stop."""
+"""Tests of evacuated zones: replication of the orders, propagation to gateways, refused sends."""
 
 import ast
 import io
@@ -51,7 +51,7 @@
 ZONES = ("a", "b", "c")
 GATEWAYS = 71
 SPREAD_SECONDS = 2.0
-"""Time in which all gateways go by an order; two fifths of what the platform grants."""
+"""Time within which all gateways must apply an order; two fifths of what the platform allows."""
 
 ORDERS = st.lists(st.builds(ZoneOrder, st.sampled_from(ZONES), st.booleans()), max_size=20)
 
@@ -63,12 +63,12 @@
             known = known.apply(index, order)
         return known
 
-    def test_orders_count_in_the_sequence_of_the_log(self) -> None:
+    def test_orders_apply_in_log_order(self) -> None:
         known = self.apply([ZoneOrder("a", True), ZoneOrder("b", True), ZoneOrder("a", False)])
         self.assertEqual(known.current.zones, ("b",))
         self.assertEqual(known.current.version, 3)
 
-    def test_an_order_that_changes_nothing_leaves_no_trace(self) -> None:
+    def test_an_order_that_changes_nothing_is_not_recorded(self) -> None:
         once = self.apply([ZoneOrder("a", True)])
         again = self.apply([ZoneOrder("a", True), ZoneOrder("a", True), ZoneOrder("b", False)])
         self.assertEqual(once, again)
@@ -78,7 +78,7 @@
         self.assertEqual(len(self.apply(orders).history), MAX_HISTORY)
 
     @given(ORDERS, st.data())
-    def test_entries_that_are_applied_again_change_nothing(
+    def test_reapplying_log_entries_changes_nothing(
         self, orders: list[ZoneOrder], data: Any
     ) -> None:
         known = self.apply(orders)
@@ -89,8 +89,8 @@
         self.assertEqual(again, known)
 
 
-class RecordTest(unittest.TestCase):
-    def test_a_dumped_state_has_the_zones_and_the_configuration(self) -> None:
+class SiteRecordTest(unittest.TestCase):
+    def test_a_dumped_state_contains_the_zones_and_the_configuration(self) -> None:
         record, fresh = SiteRecord(), SiteRecord()
         record.apply_payload(1, encode(Document(5, "text")).decode())
         record.apply_payload(2, encode(ZoneOrder("a", True, 7.0, "c:1")).decode())
@@ -98,12 +98,12 @@
         self.assertEqual(fresh.document, Document(5, "text"))
         self.assertEqual(fresh.evacuations, record.evacuations)
 
-    def test_a_state_of_an_earlier_program_is_read(self) -> None:
+    def test_a_state_without_zones_from_an_earlier_version_is_loaded(self) -> None:
         record = SiteRecord()
         record.load('{"version":5,"text":"text"}')
         self.assertEqual((record.document, record.zones.zones), (Document(5, "text"), ()))
 
-    def test_an_older_state_takes_nothing_back(self) -> None:
+    def test_loading_an_older_state_keeps_newer_zones(self) -> None:
         record = SiteRecord()
         older = record.dump()
         record.apply_payload(4, encode(ZoneOrder("a", True)).decode())
@@ -112,9 +112,9 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Orders at coordinators that speak over loopback."""
+    """Orders sent to a group of coordinators that communicate over loopback."""
 
-    def play(self, body: Callable, count: int = 3) -> None:
+    def run_on_site(self, body: Callable, count: int = 3) -> None:
         async def main(site: Site, names: list[str]) -> None:
             for name in names[:3]:
                 site.get(name).log._zones = ZONES
@@ -127,10 +127,10 @@
         assert isinstance(answer, EvacuatedZones), answer
         return answer
 
-    async def order_again(self, site: Site, name: str, zone: str) -> float:
-        """Evacuate a zone as an operator does, again while nobody leads; return when it was sent.
+    async def order_with_retries(self, site: Site, name: str, zone: str) -> float:
+        """Evacuate a zone, retrying while there is no leader; return when it was last sent.
 
-        Where this process alone stands still for long, a leader steps down.
+        A leader steps down if the test process is stalled for too long.
         """
         while True:
             sent = anyio.current_time()
@@ -150,13 +150,13 @@
             taken_back = [await self.order(site, name, "a", False) for name in names]
             self.assertEqual({answer.zones for answer in taken_back}, {()})
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_taking_back_what_is_not_evacuated_is_fine(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             self.assertEqual((await self.order(site, names[0], "b", False)).zones, ())
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_a_zone_that_no_settings_know_is_refused(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -165,7 +165,7 @@
                 assert isinstance(answer, Failure)
                 self.assertIs(answer.kind, FailureKind.INVALID)
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_without_a_majority_nothing_is_acknowledged(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -174,7 +174,7 @@
             answer = await site.get(names[0]).log.order_zone("a", True)
             self.assertIsInstance(answer, Failure)
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_what_was_acknowledged_outlives_a_lost_disk_and_all_processes(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -189,7 +189,7 @@
             await wait_for(site.get_leader)
             await wait_for(lambda: all(site.get(n).record.zones.zones == ("a",) for n in names[:3]))
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_an_order_whose_leader_ends_counts_whole_or_not_at_all(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -202,13 +202,13 @@
             await site.kill(leader.options.name)
             rest = [name for name in names if name != leader.options.name]
             await wait_for(site.get_leader)
-            # It is sent again, to another coordinator, and acknowledged there.
+            # Another coordinator must acknowledge the order when it is sent again.
             await wait_for(lambda: site.get_leader() is not None)
             answer = await self.order(site, rest[0], "a", True)
             self.assertEqual(answer.zones, ("a",))
             await wait_for(lambda: all(site.get(n).record.zones == answer for n in rest))
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_two_operators_race_and_all_coordinators_agree_who_was_last(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -222,7 +222,7 @@
                 self.assertLessEqual({"b", "c"}, set(newest.zones))
                 await self.order(site, names[2], "c", False)
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_orders_outlive_a_change_of_the_members(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -230,14 +230,15 @@
             await site.kill(names[2])
             fresh = await site.start(names[3], founding=False)
             await wait_for(lambda: fresh.record.zones.zones == ("a",))
-            # Until one that stays knows that it is committed, a majority of the old is needed, too.
+            # Until a remaining member knows that the change is committed, decisions also need a
+            # majority of the old members.
             stay = (fresh, site.get(names[1]))
-            await wait_for(lambda: any(knows_member(c, names[3]) for c in stay))
+            await wait_for(lambda: any(knows_committed_member(c, names[3]) for c in stay))
             await site.kill(names[0])
             await wait_for(site.get_leader)
             self.assertEqual((await self.order(site, names[3], "b", True)).zones, ("a", "b"))
 
-        self.play(body, 4)
+        self.run_on_site(body, 4)
 
     def test_the_command_line_lists_begins_and_ends(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -267,7 +268,7 @@
             self.assertEqual(orders, [("a", True), ("b", True), ("a", False)])
             self.assertIn("1 invalid-change", await anyio.to_thread.run_sync(refuse))
 
-        self.play(body)
+        self.run_on_site(body)
 
     def test_all_gateways_go_by_an_order_soon_and_know_before_their_first_request(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
@@ -275,65 +276,65 @@
             sites = Sites(site)
             gateways = sites.add(GATEWAYS)
             await wait_for(lambda: all(g.get_version() for g in gateways))
-            began = await self.order_again(site, names[1], "a")
+            started = await self.order_with_retries(site, names[1], "a")
             await wait_for(lambda: all(g.guard.zones.zones == ("a",) for g in gateways))
-            self.assertLess(anyio.current_time() - began, SPREAD_SECONDS)
+            self.assertLess(anyio.current_time() - started, SPREAD_SECONDS)
             (late,) = sites.add(1)
             await late.configured.wait()
             self.assertEqual(late.guard.zones.zones, ("a",))
 
-        self.play(body)
+        self.run_on_site(body)
 
 
 def evacuate(gateway: Gateway, *zones: str, version: int = 9) -> None:
     gateway.replace_zones(EvacuatedZones(version, zones))
 
 
-def place(gateway: Gateway, number: int, zone: str) -> Instance:
-    """Let an upstream of the gateway be in a zone."""
+def put_in_zone(gateway: Gateway, number: int, zone: str) -> Instance:
+    """Put one of the gateway's upstreams into a zone and return it."""
     instance = replace(make_instance(number), zone=zone, sequence=2)
     gateway.fleet.note(Sighting(instance, 0.0), anyio.current_time())
     return instance
 
 
-def knows_member(coordinator: Coordinator, name: str) -> bool:
-    """Return whether a coordinator knows another as a member by a change that is committed."""
-    settled = coordinator.group.replica.get_settled_members()
-    return name in {member.name for member in settled}
+def knows_committed_member(coordinator: Coordinator, name: str) -> bool:
+    """Return whether a coordinator knows that another one is a member by a committed change."""
+    members = coordinator.group.replica.get_settled_members()
+    return name in {member.name for member in members}
 
 
-class GateTest(unittest.TestCase):
-    """Nothing is sent into a zone that is evacuated, by whatever way."""
+class GuardedSendTest(unittest.TestCase):
+    """Nothing is sent to upstreams in an evacuated zone, on any path."""
 
-    def test_no_kind_of_send_or_copy_reaches_the_zone(self) -> None:
+    def test_no_send_or_copy_reaches_an_evacuated_zone(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher(WHOLE)
             config = make_config(Repeat.STREAM, 2, engine=True, resumable=True)
             gateway = make_gateway(dispatcher, config, anyio.current_time())
-            inside, outside = place(gateway, 1, "a"), place(gateway, 2, "b")
+            evacuated, other = put_in_zone(gateway, 1, "a"), put_in_zone(gateway, 2, "b")
             evacuate(gateway, "a")
             job = make_job(anyio.current_time())
             for changes in (
                 {},
                 {"last_event": "7", "own_connection": True},
-                {"source": Source(outside.address, "handle", "7")},
-                {"backup": outside},
+                {"source": Source(other.address, "handle", "7")},
+                {"backup": other},
             ):
-                reply = await gateway.dispatcher.send(Attempt(job, inside, "", 1.0, **changes))
+                reply = await gateway.dispatcher.send(Attempt(job, evacuated, "", 1.0, **changes))
                 assert isinstance(reply, NotRun)
                 self.assertTrue(reply.held)
-            copied = await gateway.dispatcher.copy(job, outside, inside, False)
+            copied = await gateway.dispatcher.copy(job, other, evacuated, False)
             assert isinstance(copied, NotCopied)
             self.assertIs(copied.fault, CopyFault.NO_ROOM)
-            # A run elsewhere goes on, without its copy into the zone.
-            attempt = Attempt(job, outside, "", 1.0, backup=inside)
+            # A request to another zone is sent, but without its backup in the evacuated one.
+            attempt = Attempt(job, other, "", 1.0, backup=evacuated)
             self.assertIsInstance(await gateway.dispatcher.send(attempt), Whole)
             self.assertIsNone(dispatcher.attempts[0].backup)
             self.assertEqual((len(dispatcher.attempts), dispatcher.copies), (1, []))
 
         anyio.run(main)
 
-    def test_an_older_state_of_the_zones_changes_nothing(self) -> None:
+    def test_an_older_version_of_the_zones_is_ignored(self) -> None:
         async def main() -> None:
             gateway = make_gateway(FakeDispatcher(), None, anyio.current_time())
             evacuate(gateway, "a", version=9)
@@ -344,71 +345,71 @@
 
         anyio.run(main)
 
-    def test_a_gateway_that_hears_nobody_goes_by_what_it_heard_last(self) -> None:
-        """It may go on sending to a zone that was evacuated since; it never sends to one before."""
+    def test_a_gateway_without_coordinators_keeps_the_last_known_zones(self) -> None:
+        """It may miss a newer evacuation, but still sends nothing to a known evacuated zone."""
 
         async def main() -> None:
             gateway = make_gateway(FakeDispatcher(WHOLE), None, anyio.current_time())
-            inside = place(gateway, 1, "a")
+            evacuated = put_in_zone(gateway, 1, "a")
             evacuate(gateway, "a")
-            attempt = Attempt(make_job(anyio.current_time()), inside, "", 1.0)
+            attempt = Attempt(make_job(anyio.current_time()), evacuated, "", 1.0)
             gateway.heard_at = anyio.current_time() - 1000.0
             self.assertIsInstance(await gateway.dispatcher.send(attempt), NotRun)
-            elsewhere = replace(attempt, instance=place(gateway, 2, "b"))
+            elsewhere = replace(attempt, instance=put_in_zone(gateway, 2, "b"))
             self.assertIsInstance(await gateway.dispatcher.send(elsewhere), Whole)
 
         anyio.run(main)
 
-    def test_neither_gateways_nor_the_leader_name_an_upstream_there(self) -> None:
+    def test_gateways_and_the_leader_choose_no_upstream_in_an_evacuated_zone(self) -> None:
         async def main() -> None:
             config = make_config(Repeat.STREAM, engine=True)
             gateway = make_gateway(FakeDispatcher(), config, anyio.current_time())
             for number, zone in ((1, "a"), (2, "b"), (3, "c")):
-                place(gateway, number, zone)
+                put_in_zone(gateway, number, zone)
             evacuate(gateway, "a", "c")
             service = config.services[0]
-            named = {gateway.chooser.pick(service, 100, (), PROMPT) for _ in range(20)}
-            named.add(gateway.chooser.pick_quiet(service, 100, ()))
-            self.assertEqual({instance.id for instance in named if instance}, {"i2"})
-            asked = PlaceRequest("g", "a", service.name, 100, 100, (), ())
+            chosen = {gateway.chooser.pick(service, 100, (), PROMPT) for _ in range(20)}
+            chosen.add(gateway.chooser.pick_quiet(service, 100, ()))
+            self.assertEqual({instance.id for instance in chosen if instance}, {"i2"})
+            request = PlaceRequest("g", "a", service.name, 100, 100, (), ())
             placer = Placer(gateway.fleet, LoadTotals(9.0), 1.0, Random(1))
-            found = {placer.place(asked, service, anyio.current_time(), ("a", "c")).instance}
+            found = {placer.place(request, service, anyio.current_time(), ("a", "c")).instance}
             self.assertEqual(found, {"i2"})
 
         anyio.run(main)
 
-    def test_where_all_zones_are_evacuated_it_is_refused_at_once_as_not_run(self) -> None:
+    def test_a_request_is_refused_at_once_if_all_zones_are_evacuated(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher()
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
             evacuate(gateway, "z")
-            began = anyio.current_time()
-            answer = await make_forwarder(gateway).serve(make_job(began))
+            started = anyio.current_time()
+            answer = await make_forwarder(gateway).serve(make_job(started))
             assert isinstance(answer, Failure)
             self.assertEqual(
                 (answer.kind, answer.ran, answer.retry_after),
                 (FailureKind.EVACUATED, Ran.NO, EVACUATED_RETRY_SECONDS),
             )
-            self.assertLess(anyio.current_time() - began, 0.2)
+            self.assertLess(anyio.current_time() - started, 0.2)
             self.assertEqual(dispatcher.attempts, [])
 
         anyio.run(main)
 
-    def test_what_the_leader_named_just_before_the_order_goes_elsewhere(self) -> None:
+    def test_a_request_placed_just_before_the_order_goes_to_another_zone(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher(WHOLE)
             gateway = make_gateway(
                 dispatcher, make_config(Repeat.ONCE, engine=True), anyio.current_time()
             )
             for number, zone in ((1, "a"), (2, "b"), (3, "b")):
-                place(gateway, number, zone)
+                put_in_zone(gateway, number, zone)
             gateway.chooser.gateways = 2
 
-            async def name_first(asked: PlaceRequest) -> PlaceAnswer:
+            async def choose_evacuated(request: PlaceRequest) -> PlaceAnswer:
                 evacuate(gateway, "a")
                 return PlaceAnswer("i1")
 
-            gateway.chooser.ask_place = name_first
+            gateway.chooser.ask_place = choose_evacuated
             job = make_job(anyio.current_time(), prompt=PROMPT)
             answer = await make_forwarder(gateway).serve(job)
             self.assertIsInstance(answer, Whole)
@@ -416,27 +417,27 @@
 
         anyio.run(main)
 
-    def test_a_try_that_never_left_takes_nothing_of_the_retry_budget(self) -> None:
+    def test_an_attempt_that_was_not_sent_does_not_use_the_retry_budget(self) -> None:
         async def main() -> None:
             dispatcher = FakeDispatcher(WHOLE)
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
-            inside = place(gateway, 1, "a")
-            outside = place(gateway, 2, "b")
+            evacuated = put_in_zone(gateway, 1, "a")
+            other = put_in_zone(gateway, 2, "b")
             evacuate(gateway, "a")
-            named = [inside, outside]
+            chosen = [evacuated, other]
 
-            async def place_late(*args: Any) -> Instance:
-                return named.pop(0)
+            async def choose_stale(*args: Any) -> Instance:
+                return chosen.pop(0)
 
-            gateway.chooser.place = place_late  # type: ignore[method-assign, assignment]
+            gateway.chooser.place = choose_stale  # type: ignore[method-assign, assignment]
             gateway.take_repeat = lambda service: False  # type: ignore[method-assign]
             answer = await make_forwarder(gateway).serve(make_job(anyio.current_time()))
             self.assertIsInstance(answer, Whole)
 
         anyio.run(main)
 
-    def test_no_other_module_has_a_way_to_upstreams(self) -> None:
-        """All sends go by ``gateway.dispatcher``, which is guarded from the gateway's start."""
+    def test_no_other_module_sends_to_upstreams(self) -> None:
+        """All sends go through ``gateway.dispatcher``, which checks for evacuated zones."""
         root = Path(__file__).resolve().parent.parent
         for path in (*root.glob("src/daleroad/*.py"), *root.glob("platform/*.py")):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -453,14 +454,14 @@
             self.assertTrue(guarded or own, f"{name}: {func}")
 
 
-class PlacedServiceTest(unittest.TestCase):
-    def test_the_leader_names_nothing_where_all_are_evacuated(self) -> None:
+class PlacementTest(unittest.TestCase):
+    def test_the_leader_places_nothing_if_all_zones_are_evacuated(self) -> None:
         fleet = Fleet()
         fleet.note(Sighting(make_instance(1), 0.0), 0.0)
         placer = Placer(fleet, LoadTotals(9.0), 1.0, Random(1))
-        asked = PlaceRequest("g", "z", "s", 100, 100, (), ())
+        request = PlaceRequest("g", "z", "s", 100, 100, (), ())
         service = ServiceRule("s", "/", 100, ENGINE)
-        self.assertEqual(placer.place(asked, service, 0.0, ("z",)).instance, "")
+        self.assertEqual(placer.place(request, service, 0.0, ("z",)).instance, "")
 
 
 if __name__ == "__main__":
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams that start again under their name."""
+"""Tests of upstreams that restart under the same name."""
 
 import unittest
 from dataclasses import dataclass, field, replace
@@ -30,7 +30,7 @@
     def list_ready(self) -> list[Instance]:
         return self.fleet.list_ready("s")
 
-    def test_a_later_start_replaces_the_one_before_at_once(self) -> None:
+    def test_a_later_start_replaces_the_earlier_one_at_once(self) -> None:
         changed = self.fleet.note(Sighting(self.new, 0.0, cold=3.0), 100.1)
         self.assertEqual([i.state for i in changed], [InstanceState.GONE, InstanceState.READY])
         self.assertEqual(self.list_ready(), [self.new])
@@ -38,7 +38,7 @@
         self.assertFalse(self.fleet.is_replaced(self.new))
         self.assertTrue(self.fleet.is_cold(self.new.id, 102.0))
 
-    def test_it_does_so_at_another_address_and_after_a_drain_or_leave_too(self) -> None:
+    def test_a_later_start_replaces_in_any_state_and_at_another_address(self) -> None:
         for state in InstanceState:
             with self.subTest(state=state):
                 self.setUp()
@@ -47,7 +47,7 @@
                 self.fleet.note(Sighting(moved, 0.0), 103.0)
                 self.assertEqual(self.list_ready(), [moved])
 
-    def test_what_still_comes_of_the_one_before_changes_nothing(self) -> None:
+    def test_delayed_reports_on_the_earlier_start_change_nothing(self) -> None:
         self.fleet.note(Sighting(self.new, 0.0), 101.0)
         for state in InstanceState:
             late = replace(self.old, sequence=51, state=state)
@@ -55,23 +55,23 @@
         self.assertEqual(self.fleet.leave("u", 102.0, self.old.born), [])
         self.assertEqual(self.list_ready(), [self.new])
 
-    def test_a_start_that_was_never_heard_before_its_successor_stays_away(self) -> None:
+    def test_an_earlier_start_heard_after_its_successor_is_ignored(self) -> None:
         fleet = Fleet(HEARTBEAT)
         fleet.note(Sighting(self.new, 0.0), 101.0)
         fleet.note(Sighting(self.old, 0.0), 102.0)
         self.assertEqual(fleet.list_ready("s"), [self.new])
 
-    def test_a_leave_that_names_no_start_is_of_the_one_known_then(self) -> None:
-        told = Sighting(replace(make_start(0), state=InstanceState.GONE), 0.5)
-        # Heard here 0.1 s ago, so that what was said 0.5 s ago was of the start before.
+    def test_a_leave_without_a_start_time_applies_to_the_start_known_then(self) -> None:
+        report = Sighting(replace(make_start(0), state=InstanceState.GONE), 0.5)
+        # The new start was first heard 0.1 s ago, so a leave of 0.5 s ago is the old start's.
         self.fleet.note(Sighting(self.new, 0.0), 101.0)
-        self.assertEqual(self.fleet.note(told, 101.1), [])
+        self.assertEqual(self.fleet.note(report, 101.1), [])
         self.assertEqual(self.list_ready(), [self.new])
-        self.assertEqual([i.id for i in self.fleet.note(told, 102.0)], [self.new.id])
+        self.assertEqual([i.id for i in self.fleet.note(report, 102.0)], [self.new.id])
         self.assertEqual(self.list_ready(), [])
         self.assertEqual([i.id for i in self.fleet.leave("u", 102.0)], [])
 
-    def test_a_clock_that_went_back_hides_a_start_until_the_one_before_is_forgotten(self) -> None:
+    def test_a_clock_set_back_hides_a_start_until_the_earlier_one_expires(self) -> None:
         earlier = make_start(BORN - 3000)
         for second in range(int(MAX_HEARTBEAT_AGE_SECONDS) + 3):
             now = 101.0 + second
@@ -79,7 +79,7 @@
             self.fleet.note(Sighting(replace(earlier, sequence=second + 1), 0.0), now)
         self.assertEqual([i.id for i in self.list_ready()], [earlier.id])
 
-    def test_a_gateway_forgets_the_start_before_and_moves_nothing_off_it(self) -> None:
+    def test_a_gateway_drops_a_replaced_start_without_moving_its_streams(self) -> None:
         gateway = make_gateway(FakeDispatcher(), make_config(Repeat.STREAM, engine=True), 0.0)
         forgotten, left = [], []
         gateway.dispatcher.forget = forgotten.append  # type: ignore[method-assign]
@@ -89,7 +89,7 @@
         self.assertEqual([i.id for i in forgotten], [self.old.id])
         self.assertEqual(left, [])
 
-    def test_a_request_that_met_another_ends_no_later_start(self) -> None:
+    def test_an_answer_from_another_instance_does_not_remove_a_later_start(self) -> None:
         async def main() -> None:
             now = anyio.current_time()
             gateway = make_gateway(FakeDispatcher(), make_config(Repeat.STREAM, engine=True), now)
@@ -102,83 +102,91 @@
 
 
 @dataclass
-class Teller:
-    """A coordinator: what it knows, and what it has kept on its disk."""
+class CoordinatorFleet:
+    """A coordinator's registry and the copy of it on its disk."""
 
     fleet: Fleet = field(default_factory=lambda: Fleet(HEARTBEAT))
-    kept: tuple[Sighting, ...] = ()
+    saved: tuple[Sighting, ...] = ()
 
     def restart(self, now: float) -> None:
         self.fleet = Fleet(HEARTBEAT)
-        self.fleet.note_all((replace(s, age=1.75 * HEARTBEAT) for s in self.kept), now)
+        self.fleet.note_all((replace(s, age=1.75 * HEARTBEAT) for s in self.saved), now)
 
 
 class ConvergenceTest(unittest.TestCase):
-    """Starts, leaves and crashes of one upstream, told through a network that loses and delays."""
+    """One upstream restarts, leaves and crashes; the network loses and delays reports."""
 
-    TURN = 0.1
-    FAULTS_END = 20.0
-    LATEST = 4.0
-    """Longest delay of a heartbeat or a share while there are faults."""
+    STEP_SECONDS = 0.1
+    FAULTS_END_SECONDS = 20.0
+    MAX_DELAY_SECONDS = 4.0
+    """Longest delay of a heartbeat or report before the faults end."""
 
-    BOUND = 2 * HEARTBEAT
-    """After the last fault: the next heartbeat, a share, and a gateway's question."""
+    MAX_CONVERGENCE_SECONDS = 2 * HEARTBEAT
+    """Time to converge after the last fault: the next heartbeat and its propagation."""
 
-    def play(self, seed: int) -> None:
+    def simulate(self, seed: int) -> None:
         random = Random(seed)
-        tellers = [Teller() for _ in range(3)]
+        coordinators = [CoordinatorFleet() for _ in range(3)]
         gateways = [Fleet(HEARTBEAT) for _ in range(2)]
-        fleets = lambda: [*(t.fleet for t in tellers), *gateways]  # noqa: E731
-        flying: list[tuple[float, int, Sighting]] = []
+        fleets = lambda: [*(c.fleet for c in coordinators), *gateways]  # noqa: E731
+        in_flight: list[tuple[float, int, Sighting]] = []
         born, sequence, alive = BORN, 0, True
         newest: dict[int, int] = {}
         now = 0.0
-        while now < self.FAULTS_END + self.BOUND:
-            now = round(now + self.TURN, 3)
-            faulty = now < self.FAULTS_END
+        while now < self.FAULTS_END_SECONDS + self.MAX_CONVERGENCE_SECONDS:
+            now = round(now + self.STEP_SECONDS, 3)
+            faulty = now < self.FAULTS_END_SECONDS
             if faulty and random.random() < 0.03:
                 if alive and random.random() < 0.4:
-                    # It says that it leaves, and that may come at any time.
+                    # The leave may arrive at any later time.
                     gone = replace(make_start(born, sequence), state=InstanceState.GONE)
-                    flying.append((now + random.uniform(0, self.LATEST), -1, Sighting(gone, 0.0)))
+                    in_flight.append(
+                        (now + random.uniform(0, self.MAX_DELAY_SECONDS), -1, Sighting(gone, 0.0))
+                    )
                 alive, sequence = True, 0
                 born += random.randrange(1, 9000)
             if faulty and random.random() < 0.02:
-                random.choice(tellers).restart(now)
-            if alive and random.random() < self.TURN / HEARTBEAT or now == self.FAULTS_END:
+                random.choice(coordinators).restart(now)
+            if (
+                alive
+                and random.random() < self.STEP_SECONDS / HEARTBEAT
+                or now == self.FAULTS_END_SECONDS
+            ):
                 sequence += 1
                 for _ in range(random.choice((1, 1, 2))):
-                    delay = random.choice((0.0, 0.0, random.uniform(0, self.LATEST)))
+                    delay = random.choice((0.0, 0.0, random.uniform(0, self.MAX_DELAY_SECONDS)))
                     sighting = Sighting(make_start(born, sequence, f"{born % 3}:1"), 0.0)
-                    flying.append((now + delay * faulty, -1, sighting))
-            for teller in tellers:
+                    in_flight.append((now + delay * faulty, -1, sighting))
+            for coordinator in coordinators:
                 for to, _ in enumerate(fleets()):
                     if random.random() < 0.4:
                         lost = faulty and random.random() < 0.4
-                        delay = random.uniform(0, self.LATEST) * (faulty and random.random() < 0.3)
+                        delay = random.uniform(0, self.MAX_DELAY_SECONDS) * (
+                            faulty and random.random() < 0.3
+                        )
                         if not lost:
-                            told = teller.fleet.list_sightings(now)
-                            flying += [(now + delay, to, s) for s in told]
+                            reports = coordinator.fleet.list_sightings(now)
+                            in_flight += [(now + delay, to, s) for s in reports]
                 if random.random() < 0.2:
-                    teller.kept = tuple(teller.fleet.list_sightings(now))
-            arrived = [entry for entry in flying if entry[0] <= now]
-            flying = [entry for entry in flying if entry[0] > now]
+                    coordinator.saved = tuple(coordinator.fleet.list_sightings(now))
+            arrived = [entry for entry in in_flight if entry[0] <= now]
+            in_flight = [entry for entry in in_flight if entry[0] > now]
             random.shuffle(arrived)
             for _, to, sighting in arrived:
-                target = random.choice(tellers).fleet if to < 0 else fleets()[to]
+                target = random.choice(coordinators).fleet if to < 0 else fleets()[to]
                 target.note(sighting, now)
-            for place, fleet in enumerate(fleets()):
+            for number, fleet in enumerate(fleets()):
                 fleet.prune(now)
                 ready = [i.born for i in fleet.list_ready("s")]
                 self.assertLessEqual(len(ready), 1)
-                if place >= len(tellers):
-                    # A gateway did not restart: no start of before comes back to it.
-                    self.assertGreaterEqual(min(ready, default=born), newest.get(place, 0))
-                    newest[place] = max([newest.get(place, 0), *ready])
+                if number >= len(coordinators):
+                    # Gateways don't restart here, so an earlier start never becomes ready again.
+                    self.assertGreaterEqual(min(ready, default=born), newest.get(number, 0))
+                    newest[number] = max([newest.get(number, 0), *ready])
         for fleet in fleets():
             self.assertEqual([i.born for i in fleet.list_ready("s")], [born])
 
-    def test_all_agree_on_the_last_start_soon_after_the_last_fault(self) -> None:
+    def test_all_fleets_agree_on_the_last_start_soon_after_the_last_fault(self) -> None:
         for seed in range(150):
             with self.subTest(seed=seed):
-                self.play(seed)
+                self.simulate(seed)
