--- a/src/daleroad/events.py
+++ b/src/daleroad/events.py
@@ -99,14 +99,18 @@
     REQUEST_ANSWERED = Kind(324, logging.INFO, "A request got an upstream's whole answer.")
     STREAM_BEGUN = Kind(325, logging.INFO, "A stream to a client begins.")
     ATTEMPT_FAILED = Kind(326, logging.INFO, "An upstream did not answer a request as hoped.")
-    STREAM_MOVED = Kind(327, logging.INFO, "A generation goes on at another engine.")
+    STREAM_MOVED = Kind(
+        327, logging.INFO, "A stream goes on at another upstream, resumed or restarted."
+    )
     REQUEST_SUSPECTED = Kind(337, logging.WARNING, "Upstreams ended while they ran a request.")
     REQUEST_RELEASED = Kind(338, logging.WARNING, "An operator released a request that was held.")
     EVENT_DOUBLED = Kind(336, logging.WARNING, "An upstream sent an event that the client has.")
     STREAM_COPIED = Kind(330, logging.INFO, "A generation's memory was copied to another engine.")
     COPIES_PLANNED = Kind(334, logging.INFO, "A schedule for getting off an engine was made.")
     REPORT_FAILED = Kind(335, logging.WARNING, "An engine's report could not be had.")
-    MOVE_FAILED = Kind(328, logging.WARNING, "A generation could not be copied elsewhere.")
+    MOVE_FAILED = Kind(
+        328, logging.WARNING, "A generation could not be copied, or a stream resumed, elsewhere."
+    )
     ANSWER_CUT = Kind(329, logging.INFO, "An answer to a client ended before it was whole.")
     ORDER_SENT = Kind(333, logging.INFO, "An order was sent to an engine.")
     ORDER_SETTLED = Kind(331, logging.INFO, "An engine's state was read back as ordered.")
--- a/src/daleroad/forwarding.py
+++ b/src/daleroad/forwarding.py
@@ -1,8 +1,10 @@
 """Request forwarding: routes and authenticates a request, sends it upstream, and retries it.
 
-All retry decisions are made here. A request is sent to another upstream if the previous one
-certainly did not run it, or if its route allows it to run more than once, within the route's
-attempt limit and the retry budget shared by all gateways.
+Retries before a response or stream starts are decided here. A request is sent to another upstream
+if the previous one certainly did not run it, or if its route allows it to run more than once. The
+route's attempt limit covers the attempts that may have run, and each retry takes from the budget
+that all gateways share; an attempt that reached no upstream counts against neither. Restarts of a
+started stream are decided in :mod:`daleroad.runs`, which takes from the same budget.
 """
 
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Flow:
-    """A streaming response: complete events, followed by a failure if the stream was cut.
+    """A streaming response: complete events, then a failure if it was cut and not resumed.
 
     :param deadline: when the response must be complete.
     :param close: releases the stream; must always be called.
@@ -68,11 +70,13 @@
     """The state of one request while it is being forwarded.
 
     :param deadline: the earlier of the client's deadline and the route's timeout.
-    :param send_deadline: the deadline less SPARE_SECONDS for sending the response.
-    :param need: estimated time to the start and the end of the response.
-    :param tried_ids: ids of the upstreams that the request was sent to, in order.
+    :param response_deadline: when the upstream's response must have arrived: SPARE_SECONDS before
+        the deadline, to send it on.
+    :param need: estimated duration, up to the start of the response and from there to its end.
+    :param tried_ids: ids of the instances picked so far, in order.
     :param possible_runs: number of attempts that may have run on an upstream.
-    :param attempts: number of attempts.
+    :param sends: number of sends, including those that certainly did not run and those that the
+        guard refused.
     :param failed_response: the last complete response that reported a server error, if any.
     :param reached_upstream: whether the last attempt may have reached an upstream.
     """
@@ -84,11 +88,11 @@
     organisation: str
     rank: int
     deadline: float
-    send_deadline: float
+    response_deadline: float
     need: Need
     tried_ids: dict[str, None] = field(default_factory=dict)
     possible_runs: int = 0
-    attempts: int = 0
+    sends: int = 0
     failed_response: Whole | None = None
     reached_upstream: bool = True
 
@@ -140,13 +144,13 @@
         deadline = min(job.deadline, job.received_at + route.timeout)
         event_tokens = service.engine.event_tokens if service.engine else 1
         need = estimate_need(route, job.prompt, event_tokens)
-        send_deadline = deadline - SPARE_SECONDS
+        response_deadline = deadline - SPARE_SECONDS
         return _RequestState(
-            job, table, route, service, organisation, rank, deadline, send_deadline, need
+            job, table, route, service, organisation, rank, deadline, response_deadline, need
         )
 
     def _find_config_retry_after(self) -> float:
-        """Return the Retry-After time in seconds while this gateway has no configuration."""
+        """Return the Retry-After time in seconds without a current configuration."""
         uptime = anyio.current_time() - self._started_at
         return round(max(NO_CONFIG_RETRY_SECONDS, START_SECONDS - uptime), 2)
 
@@ -154,7 +158,7 @@
         self._gateway.budget.note_first(state.service.name, anyio.current_time())
         while True:
             now = anyio.current_time()
-            if now >= state.send_deadline:
+            if now >= state.response_deadline:
                 return self._make_final_outcome(state, "the time is over")
             refusal = self._refuse_if_draining(state, now)
             if refusal is not None:
@@ -170,9 +174,9 @@
                 continue
             if instance is None:
                 return self._make_final_outcome(state, "no upstream is left")
-            state.attempts += 1
+            state.sends += 1
             outcome = await self._send_attempt(
-                state, instance, state.send_deadline - anyio.current_time()
+                state, instance, state.response_deadline - anyio.current_time()
             )
             if outcome is not None:
                 return outcome
@@ -193,7 +197,8 @@
     def _can_wait_for_memory(self, state: _RequestState, now: float) -> bool:
         """Return whether a long generation may wait for free engine memory and still start in time.
 
-        On a full engine it would be preempted, or preempt another generation, and be delayed.
+        On a full engine it would be preempted or preempt another generation; either delays one of
+        them.
         """
         prompt = state.job.prompt
         if prompt is None or prompt.ends_soon():
@@ -207,9 +212,10 @@
         return await self._gateway.may_try(find_fingerprint(state.job, state.organisation))
 
     def _make_held_failure(self, state: _RequestState) -> Failure:
-        """Return the failure for a request that is held because upstreams ended while running it.
+        """Return the failure for a request that is held, or whose trial was not granted.
 
-        Retry-After is the remaining hold time, TRIAL_SECONDS at least.
+        Upstreams ended while running it. Retry-After is the remaining hold time, TRIAL_SECONDS at
+        least; a request that may have run gets UPSTREAM_LOST without Retry-After.
         """
         reason = "upstreams ended while they ran this request"
         if state.possible_runs:
@@ -222,9 +228,10 @@
     async def _send_attempt(
         self, state: _RequestState, instance: Instance, seconds: float
     ) -> Outcome | None:
-        """Send to one instance; return the outcome, or ``None`` if another may be tried."""
+        """Send to one instance; return the outcome, or ``None`` if :meth:`_may_retry` decides."""
         gateway = self._gateway
         state.tried_ids[instance.id] = None
+        # An ejected upstream gets one request at a time; unrelated to trials of held requests.
         gateway.chooser.ejector.take_trial(instance.id, anyio.current_time())
         tokens = count_tokens(state.job.prompt)
         rank = state.rank if state.service.engine else None
@@ -254,7 +261,7 @@
                 return self._start_stream(self._make_run(state, attempt, reply, tokens, backup))
             state.possible_runs += 1
             state.failed_response = None
-            draining = scope.deadline < state.send_deadline
+            draining = scope.deadline < state.response_deadline
             if draining:
                 return Failure(FailureKind.DRAINING, "this gateway stops", Ran.UNKNOWN)
             gateway.chooser.note_result(instance, False)
@@ -267,26 +274,27 @@
                     gateway.loads.add(backup, 0, -tokens)
 
     def _refuse_if_draining(self, state: _RequestState, now: float) -> Failure | None:
-        """Return a refusal if this gateway exits before the response ends; ``None`` to go on.
+        """Return a refusal if a draining gateway should not accept the request, else ``None``.
 
-        A request that may have run on an upstream is never refused here.
+        :func:`takes` decides from the request's estimated duration. A request that may have run on
+        an upstream is never refused here.
         """
         gateway = self._gateway
         if gateway.serving or state.possible_runs:
             return None
         left = gateway.ends_at - LAST_ANSWER_SECONDS - now
         retry_after = find_return(left, gateway.others, gateway.chooser.gateways)
-        if takes(state.need, left, state.send_deadline - now, retry_after):
+        if takes(state.need, left, state.response_deadline - now, retry_after):
             return None
-        reason = "this gateway stops before the answer could be whole"
+        reason = "this gateway stops before the response could be complete"
         return Failure(FailureKind.DRAINING, reason, Ran.NO, retry_after)
 
     def _find_start_deadline(self, state: _RequestState) -> float:
         """Return the latest start of a response that should still end before the gateway exits."""
-        ends_at = self._gateway.ends_at - LAST_ANSWER_SECONDS
-        if state.send_deadline <= ends_at:
-            return state.send_deadline
-        return min(state.send_deadline, state.need.find_latest_begin(ends_at))
+        respond_by = self._gateway.ends_at - LAST_ANSWER_SECONDS
+        if state.response_deadline <= respond_by:
+            return state.response_deadline
+        return min(state.response_deadline, state.need.find_latest_begin(respond_by))
 
     def _make_run(
         self,
@@ -334,8 +342,9 @@
 
     def _may_retry(self, state: _RequestState) -> bool:
         if not state.reached_upstream:
-            # The last attempt reached no upstream, so the next one is not counted as a retry.
-            # Otherwise failed connections would exhaust the budget when many engines end at once.
+            # The last attempt reached no upstream, or the guard refused to send it, so the next one
+            # is not counted as a retry. Otherwise failed connections would exhaust the budget when
+            # many engines end at once.
             state.reached_upstream = True
             return True
         if state.possible_runs >= max(1, state.route.attempts):
@@ -399,14 +408,14 @@
                 "late": 0 < state.route.objective < seconds,
                 "route": state.route.name,
                 "service": state.service.name,
-                "sends": state.attempts,
+                "sends": state.sends,
                 "config": state.table.config.version,
             }
         if not self._gateway.serving:
             left = self._gateway.ends_at - job.received_at
             fields["left_at_arrival"] = round(left, 3)
         result = outcome.kind.value if isinstance(outcome, Failure) else str(outcome.status)
-        sends = state.attempts if state else 0
+        sends = state.sends if state else 0
         self._metrics.note_end(retry_policy, result, sends, job.received_at)
         match outcome:
             case Failure(kind, reason, ran):
--- a/src/daleroad/runs.py
+++ b/src/daleroad/runs.py
@@ -1,7 +1,8 @@
 """Delivery of streaming responses, including resumption on another upstream after a cut.
 
-The client receives each event once and in order, also if the generation is migrated to another
-engine midway or the stream is restarted there after its last event.
+A cut stream goes on from copied memory on another engine, or is restarted on another upstream after
+its last event. Events are passed on in the order in which they arrive; one that the client already
+has is dropped, provided that event ids are decimal numbers that increase within the stream.
 """
 
 from collections.abc import AsyncGenerator
@@ -44,9 +45,11 @@
     """The attempts of one request, and the limit on restarting its stream.
 
     :param upstreams: ids of the upstreams that it was sent to.
-    :param most: allowed number of runs if the route allows a restart elsewhere, else 0.
-    :param ran: number of runs so far; resuming from copied memory does not start another run.
-    :param need: estimated duration of another run.
+    :param most: allowed number of executions on upstreams if the route allows a restart elsewhere,
+        else 0.
+    :param ran: number of sends so far that may have led to an execution; resuming from copied
+        memory does not count.
+    :param need: estimated duration of another execution.
     """
 
     upstreams: set[str] = field(default_factory=set)
@@ -57,7 +60,7 @@
 
 @dataclass
 class Run:
-    """One stream that is being delivered to a client.
+    """One stream that is being delivered to a client, even if its upstream changes midway.
 
     :param attempt: the current attempt and its upstream.
     :param stream: the upstream's stream.
@@ -68,10 +71,11 @@
     :param last_event: id of the last event that had one.
     :param moving: whether a migration off its engine was started.
     :param continuation: set once the generation was stopped and its memory copied elsewhere.
-    :param settled: set when the migration has ended, successfully or not.
+    :param settled: set when the migration has ended, successfully or not, or the stream is closed.
+    :param ended: whether the stream was closed.
     :param outcome: how the stream ended. A client disconnect only cancels the delivery, so it is
         assumed until another end is known.
-    :param reason: why the upstream's stream was cut.
+    :param reason: why the stream failed; set only if it was cut and could not be resumed.
     :param tries: attempts so far, and the limit on restarting the stream.
     :param pause: longest pause between events that the route allows, in seconds; 0 for no limit.
     :param longest_pause: longest pause between events so far, in seconds.
@@ -208,11 +212,13 @@
             return None
         job, organisation = run.attempt.job, run.attempt.organisation
         if gateway.guard.get_standing(job, organisation) is not Standing.CLEAR:
-            # The request is suspected of ending upstreams; its client may send it again.
+            # Upstreams crashed while running the request, so it is not restarted here. If its
+            # client sends it again, the forwarder decides whether it may run.
             return None
         now = anyio.current_time()
         if not tries.need.fits(gateway.ends_at - now, run.deadline - now):
-            # This gateway exits before the stream would end; the client can resume elsewhere now.
+            # By the estimate, this gateway exits before the stream ends. A failure now lets the
+            # client resume elsewhere at once.
             return None
         prompt = run.attempt.job.prompt
         chooser = gateway.chooser
@@ -232,8 +238,8 @@
         run.tries.upstreams.add(instance.id)
         backup = None
         if source is None:
-            # Closing the connection stops the generation on the first upstream, so that only one
-            # upstream at a time runs it.
+            # The previous upstream stops the generation if it notices that its connection closed.
+            # Then only one upstream at a time runs it.
             await run.stream.close()
         else:
             source = replace(source, last_event=run.last_event)
@@ -250,15 +256,16 @@
         if source is None and not isinstance(reply, NotRun):
             run.tries.ran += 1
         if isinstance(reply, NotRun | Lost | Whole):
-            return self._log_resume_failure(run, instance, reply)
+            return self._make_resume_failure(run, instance, reply)
         if source is not None:
             await run.stream.close()
         self._switch_upstream(run, attempt, reply, backup, cut_at)
         return None
 
-    def _log_resume_failure(
+    def _make_resume_failure(
         self, run: Run, instance: Instance, reply: NotRun | Lost | Whole
     ) -> Failure:
+        """Log why a stream could not be resumed on an instance, and return the failure."""
         reason = f"status {reply.status}" if isinstance(reply, Whole) else reply.reason
         log_event(Event.MOVE_FAILED, request=run.attempt.job.id, to=instance.id, reason=reason)
         return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.PARTIAL)
@@ -327,7 +334,10 @@
 
 
 def _record_event(run: Run, piece: Piece) -> bool:
-    """Record an event; return whether it is new to the client. Ids increase within a stream."""
+    """Record an event; return whether it is new to the client.
+
+    Only decimal ids are compared; they increase within a stream. Any other event counts as new.
+    """
     last_id, event_id = run.last_event, piece.event
     if last_id.isdecimal() and event_id.isdecimal() and int(event_id) <= int(last_id):
         log_event(Event.EVENT_DOUBLED, request=run.attempt.job.id, event_id=event_id, last=last_id)
