--- a/src/daleroad/generations.py
+++ b/src/daleroad/generations.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Permit:
-    """A permit for a generation on an upstream."""
+    """A steward's permission to run one generation on an upstream."""
 
     upstream: Upstream
     work: Work
@@ -46,10 +46,11 @@
 class ActiveGeneration:
     """A generation whose first part has been received.
 
-    :param permit: the permit, or ``None`` for a generation that this request did not dispatch.
+    :param permit: the permit, or ``None`` if an earlier request dispatched the generation.
     :param job: the request, or ``None`` when resumed with ``Last-Event-ID``.
     :param slot: identifies the request to the organisation's limits.
-    :param answer: raw events received so far, kept for the claim.
+    :param answer: raw events received so far, to be stored with the claim of a request that may not
+        be repeated.
     """
 
     generation: str
@@ -67,7 +68,7 @@
 
     :param env: the entry's environment.
     :param stewardship: obtains and returns permits.
-    :param limits: enforces the limits of organisations.
+    :param limits: enforces the organisations' limits on concurrent requests.
     :param holding: blocks requests suspected of crashing upstreams.
     """
 
@@ -79,26 +80,27 @@
         self._limits = limits
         self._stewardship = stewardship
         self._claims = Claims(env)
-        self._pending_jobs: dict[anyio.CancelScope, Job] = {}
+        self._permit_waits: dict[anyio.CancelScope, Job] = {}
 
     async def serve(self, request: Request) -> Answer:
         """Handle a request for a new generation, or for the rest of an earlier one.
 
         :param request: a request with ``Last-Event-ID`` resumes a generation.
         """
-        last = request.headers.get("last-event-id")
-        if last is not None:
-            return await self._serve_resume(request, last)
+        last_event_id = request.headers.get("last-event-id")
+        if last_event_id is not None:
+            return await self._serve_resume(request, last_event_id)
         now = anyio.current_time()
         job = parse_job(self._env.directory, request, now)
         if isinstance(job, Failure):
             return self._refuse("", job)
         if not self._can_finish_in_time(job):
-            return await self._refuse_before_placing(job, make_leaving(Ran.NO))
+            return await self._refuse_or_deliver_earlier(job, make_leaving(Ran.NO))
         slot = uuid4().hex
         refused = await self._limits.take(job.organisation, slot)
         if refused is not None:
-            return await self._refuse_before_placing(job, refused)
+            return await self._refuse_or_deliver_earlier(job, refused)
+        # Never returned: makes `finally` release the slot if `_start` raises or is cancelled.
         active: ActiveGeneration | Failure = Failure(
             FailureKind.UNREACHABLE, "request handling was interrupted", Ran.UNKNOWN
         )
@@ -114,8 +116,9 @@
         self._env.metrics.first_token.labels(str(job.route.urgent)).observe(waited)
         return await self._deliver(active, job.completion.stream)
 
-    async def _refuse_before_placing(self, job: Job, refused: Failure) -> Answer:
-        found = await self._refuse_without_permit(job, refused)
+    async def _refuse_or_deliver_earlier(self, job: Job, refused: Failure) -> Answer:
+        """Refuse a request, or deliver the generation of an earlier attempt with its key."""
+        found = await self._attach_or_refuse(job, refused)
         if isinstance(found, Failure):
             return self._refuse(job.route.name, found)
         return await self._deliver(found, job.completion.stream)
@@ -129,13 +132,13 @@
 
     def note_end(self) -> None:
         """Limit pending waits for permits to what the shutdown deadline allows."""
-        for scope, job in self._pending_jobs.items():
+        for scope, job in self._permit_waits.items():
             scope.deadline = self._find_latest_start(job)
 
     def _find_latest_start(self, job: Job) -> float:
         env = self._env
-        most = job.completion.max_tokens
-        tokens = expect_tokens(env.lengths, job.route.name, job.model, most)
+        max_tokens = job.completion.max_tokens
+        tokens = expect_tokens(env.lengths, job.route.name, job.model, max_tokens)
         return find_latest_start(env.ends_at, job.deadline_at - job.arrived_at, tokens)
 
     def _can_finish_in_time(self, job: Job) -> bool:
@@ -145,12 +148,12 @@
         """Obtain a permit, unless the generation could not finish before the entry shuts down."""
         permit: Permit | Failure = make_leaving(Ran.NO)
         scope = anyio.CancelScope(deadline=self._find_latest_start(job))
-        self._pending_jobs[scope] = job
+        self._permit_waits[scope] = job
         try:
             with scope:
                 permit = await self._obtain_permit(job, avoid)
         finally:
-            del self._pending_jobs[scope]
+            del self._permit_waits[scope]
         if self._can_finish_in_time(job):
             return permit
         if isinstance(permit, Permit):
@@ -160,7 +163,7 @@
     # From job to first token.
 
     async def _start(self, job: Job) -> ActiveGeneration | Failure:
-        """Dispatch a job, retrying on other upstreams until its first token."""
+        """Dispatch a request and wait for its first token, retrying on other upstreams."""
         self._env.budget.note_try()
         ran = Ran.NO
         avoid: set[str] = set()
@@ -169,7 +172,7 @@
             held = self._holding.find_refusal(_make_fingerprint(job))
             permit = held or await self._obtain_permit_in_time(job, avoid)
             if isinstance(permit, Failure):
-                return await self._refuse_without_permit(job, _include_earlier_ran(permit, ran))
+                return await self._attach_or_refuse(job, _include_earlier_ran(permit, ran))
             active = await self._dispatch(job, permit)
             if isinstance(active, ActiveGeneration):
                 return active
@@ -188,11 +191,15 @@
             attempt += 1
 
     async def _obtain_permit(self, job: Job, avoid: set[str]) -> Permit | Failure:
-        """Obtain a permit from one of the upstreams, retrying while the membership changes."""
+        """Obtain a permit for one of the upstreams, retrying until the deadline.
+
+        Only failures of _TRANSIENT_KINDS are retried.
+        """
         attempt = 0
         while True:
             permit = await self._try_candidates(job, avoid)
-            # If the steward changed or is unreachable, a membership update names its successor.
+            # If the steward changed or is unreachable, a membership update names its successor; a
+            # draining upstream is no longer listed after one.
             if isinstance(permit, Permit) or permit.kind not in _TRANSIENT_KINDS:
                 return permit
             if anyio.current_time() >= job.deadline_at:
@@ -202,18 +209,22 @@
             await anyio.sleep(get_backoff(attempt, self._env.random))
 
     async def _try_candidates(self, job: Job, avoid: set[str]) -> Permit | Failure:
+        """Request a permit for each of the first candidates in turn, without queueing.
+
+        If all are overloaded, queue for the one that stated the shortest wait.
+        """
         candidates = self._rank_upstreams(job, avoid)
         if not candidates:
             reason = f"service {job.route.service} has no upstream that serves model {job.model}"
             return Failure(FailureKind.NO_UPSTREAM, reason, retry_after=2.0)
         best = candidates[0]
-        least = float("inf")
+        shortest_wait = float("inf")
         for upstream in candidates[:_MAX_CANDIDATES]:
             permit = await self._request_permit(job, upstream, wait=False)
             if isinstance(permit, Permit) or permit.kind is not FailureKind.OVERLOADED:
                 return permit
-            if (permit.retry_after or 0.0) < least:
-                least = permit.retry_after or 0.0
+            if (permit.retry_after or 0.0) < shortest_wait:
+                shortest_wait = permit.retry_after or 0.0
                 best = upstream
         return await self._request_permit(job, best, wait=True)
 
@@ -222,18 +233,19 @@
         now = anyio.current_time()
         known = env.directory.list_upstreams(job.route.service, job.model)
         healthy = [u for u in known if env.ejector.is_open(u.name, now)]
-        fresh = [u for u in healthy or known if u.name not in avoid]
+        untried = [u for u in healthy or known if u.name not in avoid]
 
         def get_load(name: str) -> float:
             return env.loads.get(name, 0.0)
 
-        return rank_candidates(fresh or healthy or known, job.prefix, get_load, env.random)
+        return rank_candidates(untried or healthy or known, job.prefix, get_load, env.random)
 
     async def _request_permit(self, job: Job, upstream: Upstream, wait: bool) -> Permit | Failure:
         env = self._env
         secret = env.settings.cluster_secret
         generation = make_generation(upstream.name, job.organisation.name, secret)
-        # With this deadline, the steward drops the work once it could not finish before shutdown.
+        # With this deadline, the steward drops the work from its queue once the work could not
+        # finish before this entry shuts down.
         deadline_at = min(job.deadline_at, self._find_latest_start(job))
         work = make_work(replace(job, deadline_at=deadline_at), generation, anyio.current_time())
         answer = await self._stewardship.ask(upstream, work, wait)
@@ -263,10 +275,11 @@
             return await self._settle_failed_claim(job, permit, active)
         return active
 
-    async def _refuse_without_permit(
-        self, job: Job, failure: Failure
-    ) -> ActiveGeneration | Failure:
-        """Refuse work that has no permit, after checking for an earlier attempt with its key."""
+    async def _attach_or_refuse(self, job: Job, failure: Failure) -> ActiveGeneration | Failure:
+        """Attach to an earlier attempt with the job's key if there is one, else refuse the job.
+
+        The keys of repeatable requests are not claimed, so these are refused at once.
+        """
         if job.route.repeatable:
             return failure
         outcome = await self._claims.look(job.organisation.name, job.key, job.digest)
@@ -279,7 +292,7 @@
 
     async def _send_work(self, job: Job, permit: Permit) -> ActiveGeneration | Failure:
         work, upstream = permit.work, permit.upstream
-        order = EngineCompletion(
+        completion = EngineCompletion(
             work.generation,
             job.model,
             job.completion.prompt,
@@ -289,7 +302,7 @@
         relay = self._make_relay(upstream.address, Delivery(work.generation), job.route.urgent)
         self._env.inflight[work.generation] = Inflight(work, upstream.name)
         self._env.ejector.take_trial(upstream.name, anyio.current_time())
-        parts = relay.start(order)
+        parts = relay.start(completion)
         first = await anext(parts)
         ok = not isinstance(first, Broken)
         self._record_health(upstream, ok)
@@ -299,7 +312,11 @@
         return ActiveGeneration(work.generation, first, parts, relay, permit, job)
 
     async def _cancel_failed_work(self, job: Job, permit: Permit, failure: Failure) -> Failure:
-        """Cancel work that yielded no token; the returned failure says whether it may have run."""
+        """Return the permit of work that yielded no token; cancel the work if it may have run.
+
+        The returned failure says whether it may have run: it certainly did not if the upstream had
+        not seen it before the cancellation.
+        """
         ran = failure.ran
         if ran is not Ran.NO:
             self._record_loss(job, permit, failure)
@@ -321,7 +338,7 @@
         outcome = await self._claims.release(name, job.key, generation)
         if isinstance(outcome, Failure) or outcome.acquired or outcome.claim is None:
             return failure
-        # Another entry has claimed the key in the meantime.
+        # The release failed because another attempt has claimed the key in the meantime.
         return await self._attach_to_claim(job, outcome.claim)
 
     # Keys claimed by an earlier attempt.
@@ -348,7 +365,10 @@
 
     async def _handle_failed_attach(self, job: Job, claim: Claim, upstream: Upstream) -> Failure:
         if claim.state is ClaimState.DONE:
-            return self._refuse_attach(claim, "its answer is no longer stored")
+            return self._refuse_attach(
+                claim,
+                "its answer is not kept with the claim and could not be read from its upstream",
+            )
         known = await forbid(self._env.links, upstream.address, claim.generation)
         if isinstance(known, Failure):
             reason = "an earlier attempt holds this key and its upstream does not respond"
@@ -367,8 +387,8 @@
 
     # From first token to end.
 
-    async def _serve_resume(self, request: Request, last: str) -> Answer:
-        found = self._parse_resume(request, last)
+    async def _serve_resume(self, request: Request, last_event_id: str) -> Answer:
+        found = self._parse_resume(request, last_event_id)
         if isinstance(found, Failure):
             return self._refuse("", found)
         delivery, upstream = found
@@ -385,11 +405,14 @@
             ActiveGeneration(delivery.generation, first, parts, relay), stream=True
         )
 
-    def _parse_resume(self, request: Request, last: str) -> tuple[Delivery, Upstream] | Failure:
+    def _parse_resume(
+        self, request: Request, last_event_id: str
+    ) -> tuple[Delivery, Upstream] | Failure:
         organisation: Organisation | Failure = identify(self._env.directory, request)
         if isinstance(organisation, Failure):
             return organisation
-        generation, _, index = last.rpartition(":")
+        # An event id is GENERATION:INDEX.
+        generation, _, index = last_event_id.rpartition(":")
         secret = self._env.settings.cluster_secret
         name = get_upstream(generation, organisation.name, secret)
         if name is None or not index.isdigit():
@@ -417,10 +440,10 @@
         """Yield the response body; clean up in the background when it ends or is cancelled."""
         env = self._env
         env.metrics.inflight.inc()
-        last: Part = active.first
+        last_part: Part = active.first
         try:
             async for part in _iterate_parts(active):
-                last = part
+                last_part = part
                 match part:
                     case Piece(raw, count):
                         self._record_progress(active, raw, count)
@@ -434,32 +457,36 @@
             env.metrics.inflight.dec()
             env.metrics.resumed.inc(active.relay.resumes)
             env.inflight.pop(active.generation, None)
-            env.spawn(self._clean_up, active, last)
+            env.spawn(self._clean_up, active, last_part)
 
     def _record_progress(self, active: ActiveGeneration, raw: bytes, count: int) -> None:
         self._env.metrics.tokens.inc(count)
-        flight = self._env.inflight.get(active.generation)
-        if flight is not None:
-            flight.produced += count
+        inflight = self._env.inflight.get(active.generation)
+        if inflight is not None:
+            inflight.produced += count
         if active.job is not None and not active.job.route.repeatable:
             active.answer.append(raw)
 
-    async def _clean_up(self, active: ActiveGeneration, last: Part) -> None:
-        """Release limits and the permit, settle the claim and record the upstream's health."""
+    async def _clean_up(self, active: ActiveGeneration, last_part: Part) -> None:
+        """Release what a generation holds, by how its delivery ended: whole, broken or left.
+
+        The organisation's slot is released in each case. The permit is returned unless the client
+        left before the end; the claim is settled only if the answer is whole.
+        """
         job = active.job
         if job is not None:
             await self._limits.release(job.organisation, active.slot)
         tokens = active.relay.delivery.next_index
-        whole = isinstance(last, Ended)
-        end = "whole" if whole else "broken" if isinstance(last, Broken) else "left"
+        whole = isinstance(last_part, Ended)
+        end = "whole" if whole else "broken" if isinstance(last_part, Broken) else "left"
         self._env.metrics.accepted.labels(job.route.name if job else "", end).inc()
         if end == "broken":
             log_event(Event.STREAM_ENDED, generation=active.generation, tokens=tokens)
         if active.permit is not None and end != "left":
             if end == "broken":
                 self._record_health(active.permit.upstream, False)
-                if job is not None and isinstance(last, Broken):
-                    self._record_loss(job, active.permit, last.failure)
+                if job is not None and isinstance(last_part, Broken):
+                    self._record_loss(job, active.permit, last_part.failure)
             await self._return_permit(active.permit, tokens, started=True, ok=whole)
         if job is not None and whole:
             self._holding.note_whole(_make_fingerprint(job))
@@ -476,7 +503,7 @@
 
     def _record_loss(self, job: Job, permit: Permit, failure: Failure) -> None:
         if failure.kind is not FailureKind.UPSTREAM_LOST:
-            # The upstream refused the work or the stream stalled; neither is a crash.
+            # A refusal, or a stall after the response began, is not a crash.
             return
         name = permit.upstream.name
         self._holding.note_lost(_make_fingerprint(job), job.organisation, job.route, name)
--- a/src/daleroad/stewardship.py
+++ b/src/daleroad/stewardship.py
@@ -39,7 +39,8 @@
 class _ManagedUpstream:
     """An upstream whose steward is this entry.
 
-    :param last_heard_at: time of the last report, or later to allow for a change of steward.
+    :param last_heard_at: time of the last report or announcement. If its steward may have changed,
+        one entry lease is added, so that it has time to find the new one.
     :param ready_at: when the leases of former stewards have expired.
     :param proposed: the record whose proposal is in progress, if any.
     """
@@ -59,7 +60,7 @@
 
 
 class Stewardship:
-    """Admits work to the upstreams that this entry manages, and requests permits for others.
+    """Admits work to the upstreams that this entry manages, and requests permits for any.
 
     :param env: the entry's environment.
     """
@@ -109,6 +110,7 @@
         if isinstance(answer, PermitAnswer):
             env.loads[upstream.name] = answer.load
         elif answer.kind is FailureKind.OVERLOADED:
+            # Counts as more than full, by the expected wait.
             env.loads[upstream.name] = 1.0 + (answer.retry_after or 0)
         return answer
 
@@ -120,9 +122,8 @@
         env = self._env
         managed = self._managed.get(request.upstream)
         if managed is None or request.epoch > env.catalog.epoch:
-            return Failure(
-                FailureKind.CONFLICT, "this entry is not the upstream's steward", retry_after=0.1
-            )
+            reason = "this entry is not the upstream's steward, or its catalog is outdated"
+            return Failure(FailureKind.CONFLICT, reason, retry_after=0.1)
         if not env.follower.has_lease():
             return Failure(
                 FailureKind.NO_LEASE, "the steward does not hold a lease", retry_after=1.0
@@ -161,7 +162,7 @@
         )
 
     def end_locally(self, end: PermitEnd) -> None:
-        """Release a permit that this entry granted.
+        """Release a permit as the upstream's steward.
 
         :param end: the permit, and how the work ended.
         """
@@ -171,7 +172,7 @@
             self._process_queue(managed)
 
     async def end(self, end: PermitEnd) -> None:
-        """Return a permit to the upstream's steward, locally or over the network.
+        """Return a permit, locally or over the network, to the upstream's steward to release it.
 
         :param end: the permit, and how the work ended.
         """
@@ -205,6 +206,7 @@
     def _deliver_decision(self, managed: _ManagedUpstream, decision: Granted | Refused) -> None:
         waiter = managed.waiters.get(decision.work.generation)
         if waiter is None:
+            # Nobody waits for the decision any more, so a permit is released at once.
             if isinstance(decision, Granted):
                 managed.admission.finish(decision.work.generation, 0, ok=False)
             return
@@ -230,7 +232,7 @@
             return None
         if steward.name == env.settings.name:
             self._manage(upstream, is_new=upstream.name not in env.catalog.upstreams)
-            self._update_catalog(upstream.name, upstream)
+            self._record_upstream(upstream.name, upstream)
         return steward.address
 
     def tell(self, name: str, load: Load, draining: bool, left: bool, models: list[str]) -> bool:
@@ -254,12 +256,15 @@
         if draining and not managed.admission.draining:
             self._drain(managed)
         state = State.DRAINING if draining else State.SERVING
-        self._update_catalog(name, replace(managed.upstream, state=state, models=tuple(models)))
+        self._record_upstream(name, replace(managed.upstream, state=state, models=tuple(models)))
         self._process_queue(managed)
         return True
 
     def refresh(self) -> None:
-        """Take over or release upstreams after a membership change."""
+        """Start or stop managing upstreams after a membership change.
+
+        Also hands over this entry's generations to new stewards, and forgets upstreams that left.
+        """
         env = self._env
         for name, upstream in env.catalog.upstreams.items():
             steward = env.directory.get_steward(name)
@@ -269,16 +274,21 @@
             if not is_steward and name in self._managed:
                 self._stop_managing(name)
             known = self._known_stewards.get(name)
-            now = steward.name if steward else ""
-            if known is not None and known != now:
+            current = steward.name if steward else ""
+            if known is not None and known != current:
                 env.spawn(self._hand_over, name)
-            self._known_stewards[name] = now
+            self._known_stewards[name] = current
         for name in [n for n in self._known_stewards if n not in env.catalog.upstreams]:
             del self._known_stewards[name]
             env.ejector.forget(name)
             env.loads.pop(name, None)
 
     def _manage(self, upstream: Upstream, is_new: bool) -> None:
+        """Start to manage an upstream, or note that one managed already was heard from.
+
+        :param is_new: whether the catalog does not list the upstream yet; the leases of former
+            stewards are not waited for then.
+        """
         now = anyio.current_time()
         settings = self._env.settings
         managed = self._managed.get(upstream.name)
@@ -295,12 +305,14 @@
             managed = _ManagedUpstream(upstream, admission, now, ready_at)
             admission.rebuilding = now < ready_at
             self._managed[upstream.name] = managed
-        # Allows an upstream time to discover that its steward changed.
+        # Allows an upstream that is not new time to discover that its steward changed.
         managed.last_heard_at = now if is_new else now + settings.entry_lease
 
     def _stop_managing(self, name: str) -> None:
         managed = self._managed.pop(name)
-        failure = Failure(FailureKind.CONFLICT, "the steward changed", retry_after=0.1)
+        failure = Failure(
+            FailureKind.CONFLICT, "this entry no longer manages the upstream", retry_after=0.1
+        )
         for refused in managed.admission.refuse_all(failure):
             self._deliver_decision(managed, refused)
 
@@ -317,8 +329,8 @@
         self._stop_managing(name)
         self._env.spawn(self._propose, MembershipRequest(DropUpstream(name)))
 
-    def _update_catalog(self, name: str, upstream: Upstream) -> None:
-        """Propose an upstream's current record to the catalog if it differs."""
+    def _record_upstream(self, name: str, upstream: Upstream) -> None:
+        """Keep an upstream's current record, and propose it to the catalog if it differs there."""
         managed = self._managed[name]
         managed.upstream = upstream
         in_catalog = self._env.catalog.upstreams.get(name)
@@ -339,13 +351,13 @@
         )
 
     async def _hand_over(self, name: str) -> None:
-        """Send the work that this entry delivers from an upstream to its new steward."""
-        flights = [f for f in self._env.inflight.values() if f.upstream == name]
+        """Tell an upstream's new steward which of its generations this entry delivers."""
+        delivered = [i for i in self._env.inflight.values() if i.upstream == name]
         steward = self._env.directory.get_steward(name)
-        if not flights or steward is None:
+        if not delivered or steward is None:
             return
-        works = tuple(flight.work for flight in flights)
-        produced = tuple(flight.produced for flight in flights)
+        works = tuple(inflight.work for inflight in delivered)
+        produced = tuple(inflight.produced for inflight in delivered)
         handover = Handover(name, works, produced)
         if steward.name == self._env.settings.name:
             self.restore(handover)
