--- a/src/daleroad/dispatch.py
+++ b/src/daleroad/dispatch.py
@@ -2,6 +2,7 @@
 
 A client for upstreams implements :class:`Dispatcher`. It only carries out what the gateway has
 decided: which instance gets a request, with which deadline and which priority.
+:class:`~daleroad.guarding.GuardedDispatcher` wraps the client and checks each request first.
 """
 
 from collections.abc import AsyncIterator
@@ -32,7 +33,7 @@
     most_output: int
 
     def ends_soon(self) -> bool:
-        """Return whether the generation should end before an engine that is leaving stops."""
+        """Return whether the generation is estimated as too short to be worth a migration."""
         return self.guess_seconds() < MOVE_WORTH_SECONDS
 
     def guess_seconds(self) -> float:
@@ -44,7 +45,7 @@
 class Job:
     """One request as received from a client. Times are on the event loop's clock.
 
-    :param id: request id that the client chose for this attempt.
+    :param id: request id that the client chose; the same for all of this gateway's attempts.
     :param target: path and query, unmodified.
     :param path: the path without the query.
     :param headers: the headers to forward to the upstream, in order.
@@ -69,9 +70,11 @@
 
 @dataclass(frozen=True)
 class Source:
-    """A copy of a generation's memory, from which another engine can continue it.
+    """A copy of a generation's memory, from which another engine can resume it.
 
-    :param address: IP:PORT of the engine that keeps the copy's handle.
+    The engine that a copy is made from is its origin.
+
+    :param address: IP:PORT of the copy's origin, or of the engine that keeps the backup.
     :param handle: id of the copy.
     :param last_event: id of the last event that the client has received.
     """
@@ -87,15 +90,16 @@
 
     :param organisation: name of the sender's organisation, or empty.
     :param seconds: time left for the response.
-    :param rank: priority for an engine, or none.
-    :param source: the copy to continue from, for a generation that moved.
+    :param rank: priority of the request on an engine; ``None`` to state none.
+    :param source: the copy to resume from, for a generation that was copied; else ``None``.
     :param backup: an engine that receives copies of the generation while it runs, if any.
     :param own_connection: whether to open a new connection instead of reusing an idle one. A
-        failure to connect proves that the request did not run; a request sent on an idle
-        connection that had died unnoticed may have run.
+        failure to connect proves that the request did not run. If an idle connection turns out to
+        be broken only after the request was sent on it, the request may have run.
     :param silence: seconds without any response after which the upstream is given up.
     :param last_event: id of the last event that the client has received, for a stream that is
-        restarted after it; empty to pass on the client's own header.
+        restarted after it; empty to pass on the client's own header. That of ``source``
+        overrides it.
     """
 
     job: Job
@@ -116,7 +120,7 @@
 
     :param gone: whether the address now belongs to another instance.
     :param sent: whether any byte may have reached the upstream.
-    :param held: whether the gateway held the request back without contacting the upstream.
+    :param held: whether the gateway itself refused to send it.
     """
 
     reason: str
@@ -160,7 +164,7 @@
     headers: Headers
 
     def pieces(self) -> AsyncIterator[Piece | Lost]:
-        """Yield complete events, then :class:`Lost` if the stream was interrupted."""
+        """Yield complete events, then :class:`Lost` if the stream was cut."""
 
     async def close(self) -> None:
         """Close the connection if the stream has not ended."""
@@ -174,7 +178,7 @@
     """A generation's memory was copied to the destination engine.
 
     :param handle: id of the copy.
-    :param made: events generated so far.
+    :param made: number of events generated so far, as the origin reports it.
     """
 
     handle: str
@@ -182,7 +186,11 @@
 
 
 class CopyFault(StrEnum):
-    """Why no copy was made."""
+    """Why no copy is known to have been made.
+
+    "There" in ABSENT and the source in UNREACHABLE are the origin. NO_ROOM also stands for a
+    destination that the guard refuses, UNREACHABLE for responses that no other value fits.
+    """
 
     ABSENT = "no such generation is at work there"
     NO_ROOM = "the destination has no room or can't be reached"
@@ -192,7 +200,7 @@
 
 @dataclass(frozen=True)
 class NotCopied:
-    """No copy was made."""
+    """No copy is known to have been made."""
 
     reason: str
     fault: CopyFault
@@ -221,10 +229,13 @@
     async def copy(
         self, job: Job, source: Instance, destination: Instance, final: bool
     ) -> Copied | NotCopied:
-        """Copy a running generation's memory; a final copy stops it first."""
+        """Copy a running generation's memory from its origin; a final copy stops it first.
+
+        :param source: the origin.
+        """
 
     async def report(self, instance: Instance) -> EngineReport | Failure:
-        """Request an engine's report; each one is paid for."""
+        """Request an engine's report."""
 
     def forget(self, instance: Instance) -> None:
         """Close the idle connections to an instance that has left."""
