--- a/src/daleroad/consensus.py
+++ b/src/daleroad/consensus.py
@@ -1,17 +1,21 @@
 """Raft consensus core: one replica of a replicated log, as a state machine without I/O.
 
 Events go in and effects come out; time and randomness are injected. The protocol is Raft with
-pre-vote, a leader lease, snapshots and membership changes, and differs from it as follows:
-
-* A member is identified by its name and the *incarnation* of its disk, a random identifier drawn
-  when the disk is created. Votes and acknowledgements count only from the incarnation in the
-  membership, so a member whose disk was lost can't vote until the leader has readmitted it.
-* A member reports a *mark* that grows with its starts and its log. The others persist the newest
-  mark, so a disk that was rolled back to an older state is detected and gets a new incarnation.
+pre-vote, a leader lease, snapshots and membership changes. It differs from Raft as follows:
+
+* A member is identified by its name and its *incarnation*, an identifier that is replaced when the
+  member's disk is lost or rolled back. It is random, except that a founder's first one is made from
+  its name. Votes and acknowledgements count only from the incarnation in the membership, so a
+  member whose disk was lost has no vote until the leader has readmitted it.
+* A member reports its *standing*: its incarnation and its last process runs, each with a *mark*
+  that grows with each start and with the log. The others persist the newest standing. A disk that
+  was rolled back to an older state reports an older standing; once told so, the member takes a new
+  incarnation.
 * While membership changes are uncommitted, each decision needs a majority of the last committed
   membership and of every later one.
 
-Effects must be executed in this order: all saves in one synced write, then sends, then commits.
+Whoever executes the effects must run all saves first, in one synced write, and then the other
+effects in their order.
 """
 
 from collections.abc import Iterable
@@ -66,10 +70,15 @@
 class _Progress:
     """A leader's replication state for another member.
 
+    :ivar next_index: index of the next log entry to send to the member.
     :ivar match_index: highest log index known to be replicated to the member.
-    :ivar last_contact: when the newest request that the member answered was sent.
+    :ivar incarnation: the incarnation that the member last reported; empty if not known yet.
+    :ivar last_contact: when the newest append or snapshot request that the member has answered, if
+        only by refusing it, was sent.
+    :ivar sent_at: when the last append or snapshot request was sent to the member.
     :ivar sent_standings: the standings last sent to the member.
-    :ivar acked_standings: the standings that the member has acknowledged.
+    :ivar acked_standings: the standings that count as acknowledged: ``sent_standings``, once the
+        member has answered a request sent at ``standings_sent_at`` or later.
     :ivar standings_sent_at: when ``sent_standings`` was first sent.
     """
 
@@ -88,10 +97,14 @@
     """State of one replica, volatile and durable, and its transitions.
 
     :param name: this member's name.
-    :param peers: names of members that receive the log in addition to the voters.
+    :param peers: names of the learners, which get the log without a vote. Names of voters may be
+        among them, and make no difference.
     :param durable: the state loaded from disk.
     :param now: the time in seconds on a monotonic clock.
     :param random: source of election timeouts and identifiers.
+    :param lease_seconds: how long a leader's lease lasts after its last contact with a majority.
+    :param leader: name of the leader of the current term, or empty if it is not known.
+    :param commit: index of the last committed entry.
     """
 
     name: str
@@ -115,9 +128,9 @@
         self.snapshot = self.durable.snapshot
         self.log = list(self.durable.log)
         self.commit = self.snapshot.index
-        settled = min(self.durable.settled, self.last_index)
-        if settled > self.commit:
-            self._commit_to(settled)
+        committed = min(self.durable.settled, self.last_index)
+        if committed > self.commit:
+            self._commit_to(committed)
         # The last contact with a leader is not persisted. A restarted member assumes that it is
         # recent, and so grants no vote while a leader may still hold its lease.
         self._last_leader_contact = self.now
@@ -127,7 +140,7 @@
 
     @property
     def standing(self) -> Standing:
-        """The incarnation and recent runs that this member identifies itself by."""
+        """The incarnation and the last process runs that this member reports to the others."""
         return self._standings.get_own(self.incarnation)
 
     @property
@@ -142,25 +155,28 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The newest membership, committed or not."""
-        return self._memberships()[-1]
+        """The newest membership, that is the voters, committed or not."""
+        return self._list_memberships()[-1]
 
     def set_learners(self, names: Iterable[str]) -> None:
-        """Replace the non-voting members that receive the log.
+        """Replace the learners, which get the log without a vote.
 
-        :param names: members outside the membership, such as new ones that are catching up.
+        :param names: names of the learners, such as new members that are catching up.
         """
         self.peers = tuple(sorted(set(names)))
         if self.role is not Role.LEADER:
             return
-        wanted = set(self._list_peers())
+        wanted = set(self._list_other_members())
         for name in wanted - set(self._progress):
             self._progress[name] = _Progress(self.last_index + 1)
         for name in set(self._progress) - wanted:
             del self._progress[name]
 
     def list_caught_up(self) -> list[Member]:
-        """Return the members, with their current incarnations, that hold all committed entries."""
+        """Return the other members that hold all committed entries, voters and learners.
+
+        Each is returned with the incarnation that it last reported.
+        """
         return [
             Member(name, progress.incarnation)
             for name, progress in self._progress.items()
@@ -168,20 +184,20 @@
         ]
 
     def list_heard(self, since: float) -> set[str]:
-        """Return the names of the members that answered a request sent since a given time.
+        """Return the names of the other members that answered a request sent since a given time.
 
         :param since: the earliest time at which the request was sent.
         """
         return {name for name, progress in self._progress.items() if progress.last_contact >= since}
 
-    def _list_peers(self) -> list[str]:
+    def _list_other_members(self) -> list[str]:
         """Return the names of all other members, voters and learners."""
-        voters = {member.name for members in self._memberships() for member in members}
+        voters = {member.name for members in self._list_memberships() for member in members}
         return sorted((voters | set(self.peers)) - {self.name})
 
     def get_settled_members(self) -> tuple[Member, ...]:
         """Return the membership, or an empty tuple while a change of it is uncommitted."""
-        memberships = self._memberships()
+        memberships = self._list_memberships()
         return memberships[0] if len(memberships) == 1 else ()
 
     def has_lease(self, now: float) -> bool:
@@ -191,7 +207,7 @@
         """
         if self.role is not Role.LEADER:
             return False
-        return now < self._majority_contact() + self.lease_seconds
+        return now < self._find_majority_contact_time() + self.lease_seconds
 
     def get_term_at(self, index: int) -> int | None:
         """Return the term of the entry at an index, or ``None`` if the log does not hold it."""
@@ -202,7 +218,10 @@
         return None
 
     def tick(self, now: float) -> list[Effect]:
-        """Process timeouts: send heartbeats as leader, start an election otherwise.
+        """Process timeouts.
+
+        A leader sends what is due, such as heartbeats, or steps down if it has had no contact with
+        a majority for too long. Any other voter starts an election after its election timeout.
 
         :param now: the current time.
         """
@@ -224,26 +243,30 @@
         """
         self.now = max(self.now, now)
         if not self.has_lease(now):
-            return Failure(FailureKind.NOT_LEADER, self.leader)
-        appended = self._append(EntryKind.CHANGE, list(payloads))
+            reason = f"this member has no leader lease; known leader: {self.leader or 'none'}"
+            return Failure(FailureKind.NOT_LEADER, reason)
+        appended = self._append_payloads(EntryKind.CHANGE, list(payloads))
         self._send_appends(force=False)
         return [entry.index for entry in appended]
 
     def propose_members(self, members: tuple[Member, ...], now: float) -> Failure | int:
         """Append a membership change to the log as leader and return its index.
 
-        Fails while another change is uncommitted, or until an entry of this term is committed.
+        Fails while another change is uncommitted, and until an entry of this term is committed.
+        The effects are returned as for :meth:`propose`.
 
         :param members: the complete new membership.
         :param now: the current time.
         """
         self.now = max(self.now, now)
         if not self.has_lease(now):
-            return Failure(FailureKind.NOT_LEADER, self.leader)
-        if len(self._memberships()) > 1 or self.get_term_at(self.commit) != self.term:
-            return Failure(FailureKind.CONFLICT, "another membership change is under way")
+            reason = f"this member has no leader lease; known leader: {self.leader or 'none'}"
+            return Failure(FailureKind.NOT_LEADER, reason)
+        if len(self._list_memberships()) > 1 or self.get_term_at(self.commit) != self.term:
+            reason = "a membership change or the first entry of this term is not committed yet"
+            return Failure(FailureKind.CONFLICT, reason)
         entry = LogEntry(self.last_index + 1, self.term, EntryKind.MEMBERS, "", members)
-        self._extend((entry,))
+        self._append_entries((entry,))
         self._send_appends(force=False)
         return entry.index
 
@@ -293,7 +316,7 @@
 
     # Memberships and majorities.
 
-    def _memberships(self) -> list[tuple[Member, ...]]:
+    def _list_memberships(self) -> list[tuple[Member, ...]]:
         """Return the last committed membership and all later, uncommitted ones."""
         return list_memberships(self.snapshot.members, self.log, self.commit)
 
@@ -305,15 +328,19 @@
         """Return whether this member, with its current incarnation, is in the newest membership."""
         return Member(self.name, self.incarnation) in self.members
 
-    def _majority_contact(self) -> float:
+    def _find_majority_contact_time(self) -> float:
+        """Return the latest time such that a majority has answered requests sent then or later.
+
+        A majority of each membership in force is needed. This member counts as answering now.
+        """
         contacts = {Member(n, p.incarnation): p.last_contact for n, p in self._progress.items()}
         contacts[Member(self.name, self.incarnation)] = self.now
-        return find_majority_value(self._memberships(), contacts)
+        return find_majority_value(self._list_memberships(), contacts)
 
     # Rollback detection.
 
     def _update_mark(self) -> None:
-        """Raise and save the mark if the log has grown by enough entries."""
+        """Raise and save the mark if the log has passed another multiple of MARK_ENTRIES."""
         if self._standings.needs_mark(self.last_index):
             self._standings.raise_mark(self.last_index)
             self._save_standing()
@@ -321,8 +348,8 @@
     def _save_standing(self) -> None:
         self._effects.append(SaveStanding(self.standing, self._standings.list_seen()))
 
-    def _is_trusted(self, sender: str, standing: Standing) -> bool:
-        """Return whether a member's disk was not rolled back, and record its standing.
+    def _check_standing(self, sender: str, standing: Standing) -> bool:
+        """Record a member's standing and return True, unless its disk was rolled back.
 
         A member whose disk was rolled back is notified.
         """
@@ -374,11 +401,12 @@
         request = VoteRequest(
             term, self.name, self.standing, self.last_index, self.last_term, pre_vote
         )
-        self._effects.extend(Send(peer, request) for peer in self._list_peers())
+        self._effects.extend(Send(peer, request) for peer in self._list_other_members())
         self._count_votes()
 
     def _count_votes(self) -> None:
-        if not is_majority(self._memberships(), self._votes):
+        """With a majority, go on from the pre-vote to the election, or from that to leading."""
+        if not is_majority(self._list_memberships(), self._votes):
             return
         if self._pre_vote:
             self._start_election(pre_vote=False)
@@ -390,7 +418,8 @@
         leading = self.role is Role.LEADER and self.has_lease(self.now)
         up_to_date = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
         eligible = self._is_voter() and up_to_date and not heard_leader and not leading
-        eligible = self._is_trusted(request.sender, request.standing) and eligible
+        # Called in any case, since it records the standing or notifies a rolled-back member.
+        eligible = self._check_standing(request.sender, request.standing) and eligible
         if request.trial:
             granted = eligible and request.term > self.term
             self._reply_vote(request, granted)
@@ -428,7 +457,7 @@
             or reply.term != expected
         ):
             return
-        if not self._is_trusted(reply.sender, reply.standing):
+        if not self._check_standing(reply.sender, reply.standing):
             return
         self._votes.add(Member(reply.sender, reply.standing.incarnation))
         self._count_votes()
@@ -455,29 +484,31 @@
         incarnations = {m.name: m.incarnation for m in self._votes}
         self._progress = {
             peer: _Progress(self.last_index + 1, incarnation=incarnations.get(peer, ""))
-            for peer in self._list_peers()
+            for peer in self._list_other_members()
         }
         self._leader_since = self.now
-        self._append(EntryKind.EMPTY, [""])
+        self._append_payloads(EntryKind.EMPTY, [""])
         self._send_appends(force=True)
 
     def _tick_leader(self) -> None:
-        last_contact = max(self._majority_contact(), self._leader_since)
+        last_contact = max(self._find_majority_contact_time(), self._leader_since)
         if self.now > last_contact + ELECTION_MIN_SECONDS:
             self._become_follower(self.term, "")
             return
         self._send_appends(force=False)
 
-    def _append(self, kind: EntryKind, payloads: list[str]) -> tuple[LogEntry, ...]:
+    def _append_payloads(self, kind: EntryKind, payloads: list[str]) -> tuple[LogEntry, ...]:
+        """Append an entry of this term for each payload, as leader; return the entries."""
         first = self.last_index + 1
         entries = tuple(
             LogEntry(first + offset, self.term, kind, payload)
             for offset, payload in enumerate(payloads)
         )
-        self._extend(entries)
+        self._append_entries(entries)
         return entries
 
-    def _extend(self, entries: tuple[LogEntry, ...]) -> None:
+    def _append_entries(self, entries: tuple[LogEntry, ...]) -> None:
+        """Append entries to the leader's own log and save them with the commit index."""
         self.log.extend(entries)
         self._effects.append(SaveEntries(entries[0].index, entries))
         self._save_commit()
@@ -533,7 +564,7 @@
         progress = self._progress.get(reply.sender)
         if self.role is not Role.LEADER or reply.term != self.term or progress is None:
             return
-        if not self._is_trusted(reply.sender, reply.standing):
+        if not self._check_standing(reply.sender, reply.standing):
             return
         if reply.standing.incarnation != progress.incarnation:
             progress.incarnation = reply.standing.incarnation
@@ -548,13 +579,15 @@
             self._readmit(reply.sender, progress)
             return
         if reply.last_index < progress.match_index:
-            # The member lost entries that it had acknowledged, so its match no longer counts.
+            # The member may have lost entries that it had acknowledged, so its match no longer
+            # counts. A refusal that arrives late looks the same; then new acknowledgements restore
+            # the match.
             progress.match_index = 0
         progress.next_index = max(1, min(reply.last_index + 1, progress.next_index - 1))
         self._send_append(reply.sender, progress)
 
     def _readmit(self, name: str, progress: _Progress) -> None:
-        """Propose the new incarnation of a member once it holds all committed entries."""
+        """Propose a voter's new incarnation once the voter holds all committed entries."""
         member = Member(name, progress.incarnation)
         names = [m.name for m in self.members]
         if member in self.members or name not in names or progress.match_index < self.commit:
@@ -569,7 +602,7 @@
             Member(n, p.incarnation): float(p.match_index) for n, p in self._progress.items()
         }
         matches[Member(self.name, self.incarnation)] = float(self.last_index)
-        reached = find_majority_value(self._memberships(), matches)
+        reached = find_majority_value(self._list_memberships(), matches)
         if reached > self.commit and self.get_term_at(int(reached)) == self.term:
             self._commit_to(int(reached))
 
@@ -580,8 +613,9 @@
         self._effects.append(Commit(entries))
         if not any(entry.kind is EntryKind.MEMBERS for entry in entries):
             return
-        # A member that does not know of the commit, also after a restart, needs majorities of both
-        # memberships, and the old one may include a lost disk. So the commit is saved and sent now.
+        # A member that does not know that a new membership is committed needs a majority of the old
+        # one, too, which may include a member whose disk was lost. So the commit index is saved
+        # now, for this member after a restart, and a leader sends it to the others now.
         self._effects.append(SaveSettled(index))
         if self.role is Role.LEADER:
             self._send_appends(force=True)
