--- a/src/daleroad/events.py
+++ b/src/daleroad/events.py
@@ -35,7 +35,9 @@
     COMMAND_FAILED = Kind(112, logging.ERROR, "A command of the command line failed.")
     LEADER_ELECTED = Kind(200, logging.INFO, "This member became leader of a group.")
     LEADER_STEPPED_DOWN = Kind(201, logging.WARNING, "This member stopped leading a group.")
-    MEMBER_READMITTED = Kind(202, logging.WARNING, "A member with a new disk may vote again.")
+    MEMBER_READMITTED = Kind(
+        202, logging.WARNING, "A committed change of a group's membership was applied."
+    )
     SNAPSHOT_TAKEN = Kind(203, logging.INFO, "A snapshot replaced the older part of a log.")
     SNAPSHOT_INSTALLED = Kind(204, logging.INFO, "A member took over a leader's snapshot.")
     STORAGE_FAILED = Kind(205, logging.ERROR, "The disk refused a write; nothing was told.")
--- a/src/daleroad/group.py
+++ b/src/daleroad/group.py
@@ -42,7 +42,11 @@
 
 
 class StateMachine(Protocol):
-    """A deterministic state machine that applies the committed entries of a log."""
+    """A deterministic state machine that applies the committed entries of a log.
+
+    After a failed write the replica restarts from disk and the state machine goes on: an older
+    state may then be loaded, and entries may be applied again. Neither may do harm.
+    """
 
     def apply_payload(self, index: int, payload: str) -> Any:
         """Apply a committed payload and return its outcome."""
@@ -56,7 +60,11 @@
 
 @dataclass
 class _Proposal:
-    """A proposed change whose outcome a caller awaits."""
+    """A proposed change whose outcome a caller awaits.
+
+    :ivar done: set once the outcome is there.
+    :ivar term: term in which the change was appended to the log; 0 until then.
+    """
 
     payload: str
     done: anyio.Event = field(default_factory=anyio.Event)
@@ -66,6 +74,8 @@
 
 @dataclass(frozen=True)
 class _Received:
+    """A message from another member, to be processed in the next step."""
+
     message: Message
 
 
@@ -74,13 +84,13 @@
 
     :param name: the name of the group, the same on all members.
     :param member: this member's name.
-    :param urls: base URLs by member name.
+    :param urls: base URLs by member name. These members get the log at first, voters or not.
     :param storage: the durable state.
     :param machine: the state machine that applies committed entries.
     :param links: calls to the other members.
-    :param random: source of election timeouts.
-    :param locate: returns the base URL of a member that is not in ``urls``. Without it, the members
-        are fixed.
+    :param random: source of election timeouts and identifiers.
+    :param locate: returns the base URL of a member that is not in ``urls``. Without it, ``urls``
+        must name all members.
     """
 
     def __init__(
@@ -102,7 +112,7 @@
         self._urls = dict(urls)
         self._locate = locate
         self._tasks: TaskGroup | None = None
-        self._logged_bytes = 0
+        self._logged_characters = 0
         self._storage = storage
         self._links = links
         self._random = random
@@ -117,7 +127,7 @@
     async def run(self, tasks: TaskGroup) -> None:
         """Load the durable state and start this member's tasks.
 
-        :param tasks: the group that the tasks run in.
+        :param tasks: the task group that the tasks run in.
         """
         self._tasks = tasks
         await self._start()
@@ -131,7 +141,7 @@
         if durable.snapshot.state:
             self.machine.load(durable.snapshot.state)
         self.applied = durable.snapshot.index
-        self._logged_bytes = sum(len(entry.payload) for entry in durable.log)
+        self._logged_characters = sum(len(entry.payload) for entry in durable.log)
         await self._execute(self.replica.take())
 
     def is_leading(self) -> bool:
@@ -151,18 +161,22 @@
 
     def get_leader_url(self) -> str | None:
         """Return the base URL of the leader, if one is known."""
-        return self._resolve_url(self.replica.leader) if self.replica.leader else None
+        return self._find_url(self.replica.leader) if self.replica.leader else None
 
-    def _resolve_url(self, name: str) -> str | None:
+    def _find_url(self, name: str) -> str | None:
         if name not in self._urls and self._locate is not None:
             self._urls[name] = self._locate(name)
         return self._urls.get(name)
 
     def refuse(self) -> Failure:
-        """Return the failure that redirects a caller to the leader, if one is known."""
+        """Return the failure for a request that this member can't serve.
+
+        It names the base URL of the leader if another member is known to lead. Otherwise, also if
+        this member leads but can't serve, it asks the caller to retry.
+        """
         url = self.get_leader_url()
         if url is None or self.replica.leader == self.member:
-            return Failure(FailureKind.NO_MAJORITY, "no leader is known", Ran.NO, 1.0)
+            return Failure(FailureKind.NO_MAJORITY, "no leader can serve this yet", Ran.NO, 1.0)
         return Failure(FailureKind.NOT_LEADER, url)
 
     def receive(self, messages: list[Message]) -> None:
@@ -192,7 +206,7 @@
         """Reject new proposals and fail all outstanding ones."""
         self._stopped = True
         for proposal in (*self._pending.values(), *self._queued):
-            self._resolve(proposal, _make_leadership_lost())
+            self._finish(proposal, _make_leadership_lost())
         self._pending = {}
         self._queued = []
 
@@ -209,11 +223,12 @@
     async def _restart(self, reason: str) -> None:
         """Restart the replica from disk after a failed write.
 
-        Nothing unsaved may be sent or applied, so outstanding proposals and messages are dropped.
+        Nothing unsaved may be sent or applied, so outstanding proposals fail and received messages
+        are dropped.
         """
         log_event(Event.STORAGE_FAILED, group=self.name, reason=reason)
         for proposal in (*self._pending.values(), *self._queued):
-            self._resolve(proposal, _make_leadership_lost())
+            self._finish(proposal, _make_leadership_lost())
         self._pending = {}
         self._queued = []
         self._inbox = []
@@ -248,7 +263,7 @@
         indexes = self.replica.propose([p.payload for p in proposals], now)
         if isinstance(indexes, Failure):
             for proposal in proposals:
-                self._resolve(proposal, self.refuse())
+                self._finish(proposal, self.refuse())
             return
         for index, proposal in zip(indexes, proposals, strict=True):
             proposal.term = self.replica.term
@@ -274,7 +289,7 @@
 
     def _apply(self, entry: LogEntry) -> None:
         outcome = None
-        self._logged_bytes += len(entry.payload)
+        self._logged_characters += len(entry.payload)
         match entry.kind:
             case EntryKind.CHANGE:
                 outcome = self.machine.apply_payload(entry.index, entry.payload)
@@ -287,19 +302,19 @@
         if proposal is None:
             return
         if proposal.term == entry.term:
-            self._resolve(proposal, outcome)
+            self._finish(proposal, outcome)
         else:
-            self._resolve(proposal, _make_leadership_lost())
+            self._finish(proposal, _make_leadership_lost())
 
     def _fail_pending(self) -> None:
         """Fail the appended proposals if this member no longer leads."""
         if self.replica.role is Role.LEADER:
             return
         for proposal in self._pending.values():
-            self._resolve(proposal, _make_leadership_lost())
+            self._finish(proposal, _make_leadership_lost())
         self._pending = {}
 
-    def _resolve(self, proposal: _Proposal, outcome: Any) -> None:
+    def _finish(self, proposal: _Proposal, outcome: Any) -> None:
         proposal.outcome = outcome
         proposal.done.set()
 
@@ -312,10 +327,12 @@
 
     async def _compact(self) -> None:
         many = self.applied - self.replica.snapshot.index >= SNAPSHOT_ENTRIES
-        large = self._logged_bytes >= SNAPSHOT_BYTES and self.applied > self.replica.snapshot.index
+        large = (
+            self._logged_characters >= SNAPSHOT_BYTES and self.applied > self.replica.snapshot.index
+        )
         if not many and not large:
             return
-        self._logged_bytes = 0
+        self._logged_characters = 0
         effects = self.replica.compact(self.applied, self.machine.dump())
         await self._execute(effects)
         log_event(Event.SNAPSHOT_TAKEN, group=self.name, index=self.applied)
@@ -335,7 +352,7 @@
         return self._outboxes[peer]
 
     async def _send_loop(self, peer: str) -> None:
-        url = f"{self._resolve_url(peer)}/peer/{self.name}"
+        url = f"{self._find_url(peer)}/peer/{self.name}"
         while True:
             await self._outbox_wakes[peer].wait()
             self._outbox_wakes[peer] = anyio.Event()
@@ -361,5 +378,6 @@
 
 
 def _make_leadership_lost() -> Failure:
-    reason = "this member stopped leading before the change was committed"
+    """Return the failure of a change whose outcome this member will not learn."""
+    reason = "this member stopped leading or serving; whether the change is committed is unknown"
     return Failure(FailureKind.LEADERSHIP_LOST, reason, Ran.UNKNOWN, 1.0)
