--- a/src/daleroad/coordinator.py
+++ b/src/daleroad/coordinator.py
@@ -1,7 +1,10 @@
 """The coordinator process: a replica of the routing configuration that serves gateways.
 
-The routing configuration and the evacuated zones are in a replicated log on the coordinators'
-disks. Liveness of upstreams and gateways is soft state that coordinators exchange.
+The routing configuration and the evacuated zones are in a replicated log, which coordinators with a
+disk keep there. Outside the log, coordinators tell each other which upstreams and gateways are
+alive and which requests are suspected. A coordinator with a disk also keeps the upstreams and the
+suspected requests in files, for its next start. The leader commits changes to the log, plans its
+voters, places requests and gives trials of suspected requests.
 """
 
 from dataclasses import dataclass
@@ -70,7 +73,7 @@
     """Start options of a coordinator.
 
     :param name: IP:PORT at which the other coordinators reach this one.
-    :param seeds: addresses of coordinators to contact first.
+    :param seeds: addresses of coordinators that are always contacted, even if they are silent.
     :param data: directory on a persistent disk, or empty on a VM without one.
     :param founding: whether the whole site starts for the first time.
     :param heartbeat: interval of upstreams' heartbeats in seconds.
@@ -93,7 +96,7 @@
     :param options: its start options.
     :param links: client for calls to other processes.
     :param parse: parses a routing configuration from its document.
-    :param random: source of randomness for election timeouts and the choice of engines.
+    :param random: source of election timeouts and identifiers, and for the choice of upstreams.
     """
 
     def __init__(
@@ -127,6 +130,7 @@
         )
         self.log = SiteLog(options.name, self.group, self.record, links, parse, options.zones)
         self._ready = False
+        # By name: whether the coordinator has a disk, and when it last asked to join.
         self._standbys: dict[str, tuple[bool, float]] = {}
         self._changed = anyio.Event()
 
@@ -156,19 +160,19 @@
         self._storage.close()
 
     def is_leading(self) -> float:
-        """Return 1 while this coordinator is the leader, else 0."""
+        """Return 1 while this coordinator is the leader with a lease, else 0, as a metric."""
         return float(self._ready and self.group.is_leading())
 
     def get_version(self) -> int:
-        """Return the newest routing configuration version that this replica has committed."""
+        """Return the version of the newest routing configuration that this replica has applied."""
         return self.record.document.version
 
     def count_evacuated(self) -> int:
-        """Return how many availability zones are evacuated, as committed at this replica."""
+        """Return how many availability zones are evacuated, as this replica has applied."""
         return len(self.record.zones.zones)
 
     def replace_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the addresses of coordinators to contact first.
+        """Replace the addresses of coordinators that are always contacted.
 
         :param seeds: the addresses.
         """
@@ -179,13 +183,15 @@
     async def _found_group(self) -> None:
         """Write the initial membership, if this coordinator is one of the first voters.
 
-        Waits for an answer from every seed, so that all founders write the same membership.
+        Only seeds can be. A seed waits for an answer from every other seed, so that all founders
+        write the same membership.
         """
         if self.options.name not in self.peers.seeds:
             return
         answers = [await self._identify(seed) for seed in sorted(self.peers.seeds)]
         voters = [answer.name for answer in answers if answer.disk]
-        # If no seed has a disk, all seeds vote, and the log lasts only while they run.
+        # If no seed has a disk, all seeds vote. The log is in memory then, and is lost once a
+        # majority of them has stopped.
         names = voters or sorted(self.peers.seeds)
         if self.options.name not in names:
             return
@@ -245,9 +251,10 @@
                 self._update_membership(now)
 
     def _update_membership(self, now: float) -> None:
-        """Replicate the log to standbys, and propose a better membership if there is one.
+        """Send the log to standbys; propose them in place of a silent voter or as more voters.
 
-        Only standbys with a disk that have caught up can become voters.
+        Standbys are the coordinators that have asked to join in the last STANDBY_SILENT_SECONDS.
+        Only those with a disk that hold all committed entries can become voters.
         """
         replica = self.group.replica
         active = {
@@ -349,7 +356,8 @@
                 and not self._lacks_operator_change(message)
             ):
                 await self._changed.wait()
-            # Batch fleet changes, which often come several at a time, but no operator changes.
+            # Wait a little for more fleet changes, which often come several at a time; but answer
+            # at once if the gateway lacks an operator change or knows another epoch.
             with anyio.move_on_after(message.gather if message.epoch == self.epoch else 0):
                 while not self._lacks_operator_change(message):
                     await self._changed.wait()
@@ -414,6 +422,7 @@
         return Response(200, encode(answer))
 
     async def _serve_save(self, request: Request) -> Answer:
+        """Commit a routing configuration that another coordinator forwarded."""
         message = self._decode_request(request, SaveRequest)
         if isinstance(message, Failure):
             return message
@@ -436,7 +445,7 @@
         return answer if isinstance(answer, Failure) else Response(200, encode(answer))
 
     async def _serve_evacuate(self, request: Request) -> Answer:
-        """Carry out a zone order from the command line."""
+        """Carry out an operator's zone order, at this coordinator or through the leader."""
         message = self._decode_request(request, EvacuateRequest)
         if isinstance(message, Failure):
             return message
@@ -476,14 +485,14 @@
         if isinstance(message, Failure):
             return message
         if not self._ready or not self.group.is_leading():
-            return Failure(FailureKind.NOT_LEADER, "only the leading coordinator grants trials")
+            return Failure(FailureKind.NOT_LEADER, "only the leading coordinator gives trials")
         granted = self.presence.shared.give_trial(message.fingerprint)
         return Response(200, encode(TrialAnswer(granted)))
 
     def _handle_zone_change(self) -> None:
-        """Treat upstreams of a zone that is no longer evacuated as cold, pending their heartbeats.
+        """Treat all upstreams of a zone as cold after its evacuation, until they report otherwise.
 
-        They may have become cold a moment ago, which only their next heartbeats report.
+        One may have become cold since its last heartbeat, and only its next one says so.
         """
         now = anyio.current_time()
         zones = self.record.zones.zones
