--- a/src/daleroad/dispatch.py
+++ b/src/daleroad/dispatch.py
@@ -224,7 +224,7 @@
         """Copy a running generation's memory; a final copy stops it first."""
 
     async def report(self, instance: Instance) -> EngineReport | Failure:
-        """Request an engine's report; each one is paid for."""
+        """Request an engine's status report."""
 
     def forget(self, instance: Instance) -> None:
         """Close the idle connections to an instance that has left."""
--- a/src/daleroad/guarding.py
+++ b/src/daleroad/guarding.py
@@ -298,7 +298,7 @@
         return await self._inner.copy(job, source, destination, final)
 
     async def report(self, instance: Instance) -> EngineReport | Failure:
-        """Ask an engine for its report; each one has a cost."""
+        """Request an engine's status report."""
         return await self._inner.report(instance)
 
     def forget(self, instance: Instance) -> None:
