--- a/src/daleroad/dispatch.py
+++ b/src/daleroad/dispatch.py
@@ -235,7 +235,7 @@
         """
 
     async def report(self, instance: Instance) -> EngineReport | Failure:
-        """Request an engine's report."""
+        """Request an engine's status report."""
 
     def forget(self, instance: Instance) -> None:
         """Close the idle connections to an instance that has left."""
