--- a/src/daleroad/admission.py
+++ b/src/daleroad/admission.py
@@ -1,7 +1,9 @@
-"""Admission control for one upstream, run by its steward. Pure: the caller passes in the time.
+"""Admission control for one upstream, run by its steward.
 
 The steward tracks the requests that it admitted, corrects that state by the upstream's reports, and
 admits more only while the expected peak memory of the whole batch fits.
+
+Does no I/O; the caller passes in the time.
 """
 
 from collections.abc import Iterable, Iterator
@@ -75,7 +77,10 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The request will not be admitted to this upstream."""
+    """The request is neither admitted nor queued.
+
+    If the failure has a ``retry_after``, the request may be asked for again after that time.
+    """
 
     work: Work
     failure: Failure
@@ -89,7 +94,10 @@
     """A request that runs on the upstream or is about to be dispatched to it.
 
     :param reported: whether the upstream has reported it.
-    :param charged_tokens: tokens charged to its queue so far; an estimate until it finishes.
+    :param charged_tokens: tokens counted as charged to its queue; when it finishes, the difference
+        to its output is charged. It is the expected output for a request admitted here. For one
+        from a former steward and for a placeholder it is the output when it was added, of which
+        nothing was charged here.
     """
 
     work: Work
@@ -123,8 +131,8 @@
 def compute_peak_memory(sequences: Iterable[tuple[float, float]]) -> float:
     """Return the peak memory of a batch whose sequences produce the tokens expected of them.
 
-    The peak is reached when some sequence ends: those with more remaining tokens still run and have
-    grown by as many tokens as it has.
+    The peak is reached when some sequence ends. By then, it and all sequences with more remaining
+    tokens have each grown by the remaining tokens of the one that ends.
 
     :param sequences: memory in use and expected remaining output of each, in tokens.
     """
@@ -139,15 +147,16 @@
 class Admission:
     """The admitted requests, the queues and the admission policy of one upstream.
 
-    :param capacity: memory in tokens; 0 if only the slots limit.
+    :param capacity: memory in tokens; 0 if only the number of slots is limited.
     :param slots: maximum batch size.
     :param lengths: history of output lengths.
     :param policy: how to admit.
-    :param max_queued: number of queued requests from which a partner is held to its share.
+    :param max_queued: number of queued requests from which on a partner may queue another only
+        while it has less than its share of this number; nobody may queue one at twice the number.
     :param urgent_reserve: fraction of memory and slots reserved for urgent requests.
     :ivar draining: whether the upstream is leaving; every new request is refused.
-    :ivar rebuilding: whether a former steward may still admit requests; only urgent ones are
-        admitted then, within the reserve.
+    :ivar rebuilding: whether a former steward may still admit requests, which are not all known
+        here; only urgent ones are admitted then, within the reserve.
     """
 
     def __init__(
@@ -184,6 +193,9 @@
     def set_shares(self, shares: dict[str, float]) -> None:
         """Set the partners' shares of the upstream.
 
+        A partner without a share is queued with a weight of 1, and its wait and its part of the
+        queue are computed as if it had the whole upstream.
+
         :param shares: share by partner; only the proportions matter.
         """
         self._shares = shares
@@ -192,7 +204,10 @@
             self._normal_queue.set_share(partner, share)
 
     def get_load(self) -> float:
-        """Return the larger of the occupied fraction of slots and of expected peak memory."""
+        """Return the larger of the fractions of the slots occupied and of the memory expected.
+
+        The expected peak memory may exceed the capacity, and the load may then exceed 1.
+        """
         slots = len(self._admitted) / max(1, self.slots)
         if not self.capacity:
             return slots
@@ -219,8 +234,8 @@
             return Refused(work, Failure(FailureKind.DRAINING, "the upstream is draining"))
         if self.capacity and work.prompt_tokens + 1 > self.capacity * (1 - self._urgent_reserve):
             reason = (
-                "the prompt does not fit the unreserved part of the upstream's "
-                f"{self.capacity} tokens of memory"
+                f"the prompt does not fit the part of the upstream's {self.capacity} tokens of "
+                "memory that is not reserved for urgent requests"
             )
             return Refused(work, Failure(FailureKind.TOO_LARGE, reason))
         queue = self._urgent_queue if work.urgent else self._normal_queue
@@ -251,7 +266,7 @@
             self._remove_queued(queued)
 
     def finish(self, generation_id: str, tokens: int, ok: bool = True) -> None:
-        """Release the capacity of a request that ended.
+        """Release the capacity of a request that ended, or remove it from the queue.
 
         :param generation_id: its generation.
         :param tokens: number of tokens that it produced.
@@ -264,6 +279,7 @@
         self._remember_finished(generation_id)
         work = admitted.work
         if not work.route:
+            # A placeholder from _add_unknown, whose queue and lengths are unknown.
             return
         queue = self._urgent_queue if work.urgent else self._normal_queue
         queue.charge(work.partner, work.organisation, tokens - admitted.charged_tokens)
@@ -280,6 +296,7 @@
         """
         known = self._admitted.get(work.generation)
         if known is not None and known.work.route:
+            # Only a placeholder, which has no route, is replaced.
             return
         if work.generation in self._finished_ids:
             return
@@ -289,7 +306,7 @@
         )
 
     def report(self, load: Load, now: float) -> None:
-        """Reconcile the admitted requests with an upstream's report.
+        """Reconcile the admitted requests with the upstream's report.
 
         :param load: the report.
         :param now: the time.
@@ -318,9 +335,9 @@
         decisions: list[Granted | Refused] = list(self._refuse_expired(now))
         aged = self._has_aged_request(now)
         if aged:
-            decisions.extend(self._admit_from(self._normal_queue, now, aged=False))
-        decisions.extend(self._admit_from(self._urgent_queue, now, aged))
-        decisions.extend(self._admit_from(self._normal_queue, now, aged=False))
+            decisions.extend(self._admit_from(self._normal_queue, now, confine_urgent=False))
+        decisions.extend(self._admit_from(self._urgent_queue, now, confine_urgent=aged))
+        decisions.extend(self._admit_from(self._normal_queue, now, confine_urgent=False))
         return decisions
 
     def refuse_all(self, failure: Failure) -> list[Refused]:
@@ -334,10 +351,10 @@
         return refused
 
     def _admit_from(
-        self, queue: FairQueue[_QueuedRequest], now: float, aged: bool
+        self, queue: FairQueue[_QueuedRequest], now: float, confine_urgent: bool
     ) -> Iterator[Granted | Refused]:
         while (queued := queue.peek()) is not None:
-            if not self._can_admit(queued.work, now, aged):
+            if not self._can_admit(queued.work, now, confine_urgent):
                 return
             queue.pop()
             del self._queued[queued.work.generation]
@@ -363,7 +380,7 @@
         queue.remove(queued.work.partner, queued.work.organisation, queued)
 
     def _has_aged_request(self, now: float) -> bool:
-        """Return whether the next non-urgent request has been queued for too long."""
+        """Return whether the next non-urgent request was queued over AGEING_SECONDS ago."""
         head = self._normal_queue.peek()
         return head is not None and now - head.queued_at > AGEING_SECONDS
 
@@ -372,17 +389,23 @@
         self._admitted[work.generation] = _AdmittedRequest(work, now, charged_tokens=expected)
         queue.charge(work.partner, work.organisation, expected)
 
-    def _can_admit(self, work: Work, now: float, aged: bool = False) -> bool:
+    def _can_admit(self, work: Work, now: float, confine_urgent: bool = False) -> bool:
         """Return whether a request may be admitted now.
 
-        Urgent requests may use the whole upstream, others all but the reserve. While a non-urgent
-        request has aged, or the state is being rebuilt, urgent ones are confined to the reserve.
+        Urgent requests may use the whole upstream, others all but the reserve. With
+        ``confine_urgent`` or while rebuilding, only the reserve is available, and only urgent
+        requests count as its use. Unlimited and FixedLimit have no reserve.
+
+        :param work: the request.
+        :param now: the time.
+        :param confine_urgent: whether to confine an urgent request to the reserve, since a
+            non-urgent one has aged; never set for a non-urgent one.
         """
         share = 1.0 if work.urgent else 1.0 - self._urgent_reserve
         if self.rebuilding and not work.urgent:
             return False
         admitted = list(self._admitted.values())
-        if aged or self.rebuilding:
+        if confine_urgent or self.rebuilding:
             share = self._urgent_reserve
             admitted = [a for a in admitted if a.work.urgent]
         match self.policy:
@@ -422,10 +445,10 @@
         )
 
     def _estimate_wait(self, work: Work) -> float:
-        """Return the expected queueing time in seconds.
+        """Return the expected queueing time in seconds; 0 while the token rate is unknown.
 
-        It is the smaller of two bounds: all tokens queued ahead at the upstream's whole rate, and
-        the tokens queued by the same partner at that partner's share of the rate.
+        It is the smaller of two times: for all tokens queued ahead at the upstream's whole rate,
+        and for those queued by the same partner at that partner's share of the rate.
         """
         if self._tokens_per_second <= 0:
             return 0.0
@@ -442,16 +465,17 @@
         return min(total, own / share) / self._tokens_per_second
 
     def _get_share(self, partner: str) -> float:
-        """Return a partner's fraction of all shares, or 1 if it has none."""
+        """Return a partner's fraction of all shares, at least 0.01, or 1 if it has no share."""
         total = sum(self._shares.values())
         if partner not in self._shares or total <= 0:
             return 1.0
         return max(0.01, self._shares[partner] / total)
 
     def _is_queue_full(self, work: Work) -> bool:
-        """Return whether a request exceeds its partner's share of a full queue.
+        """Return whether the queue is too full for another request of a partner.
 
-        A queue of twice the limit is full for everyone.
+        From ``max_queued`` requests on, it is full for partners with their share of that number in
+        it; from twice as many on, for everyone.
         """
         if len(self._queued) < self._max_queued:
             return False
@@ -467,10 +491,11 @@
         self._reported_at = now
 
     def _add_unknown(self, generation_id: str, load: Load, now: float) -> _AdmittedRequest | None:
-        """Add a placeholder for a reported generation that this steward did not admit.
+        """Add a placeholder for a reported generation that is not among the admitted requests.
 
-        :meth:`restore` replaces it once the entry that delivers it hands it over. Reports may be
-        stale, so a generation that has finished here is ignored.
+        It has no route, and all memory that the known requests don't explain is taken for its
+        prompt. :meth:`restore` replaces it once an entry hands over the request. Reports may be
+        stale, so a generation that has finished or was dropped here lately is ignored.
         """
         if generation_id in self._finished_ids:
             return None
@@ -483,7 +508,7 @@
         return admitted
 
     def _drop_missing(self, load: Load, now: float) -> None:
-        """Drop requests that the upstream no longer reports, or never did within the timeout."""
+        """Drop requests that the upstream no longer reports, or not within PERMIT_SECONDS."""
         for generation_id, admitted in list(self._admitted.items()):
             overdue = now > admitted.admitted_at + PERMIT_SECONDS
             if generation_id not in load.produced_tokens and (admitted.reported or overdue):
--- a/src/daleroad/placer.py
+++ b/src/daleroad/placer.py
@@ -1,9 +1,10 @@
-"""Central placement of all gateways' prompts, run by the leading coordinator. Pure.
+"""Central placement of all gateways' prompts, run by the leading coordinator.
 
-A gateway of many sees too few prompts to place them well: with 200 gateways, 31 engines and 28
-prompts a second it sees one in seven seconds, and it learns of the others' a second late. The
-placer records each prompt as it names the engine, so the next choice takes it into account.
-``tests/test_placing.py`` compares both in simulation.
+One gateway of many places few of the prompts itself and learns of the others' late. The placer
+records the load of each prompt when it chooses the engine, so that the next choice takes it into
+account. ``tests/test_placing.py`` compares both in simulation.
+
+Does no I/O; the caller passes in the time.
 """
 
 from collections.abc import Container, Iterator
@@ -27,7 +28,7 @@
     :param loads: the load that all gateways put on them.
     :param heartbeat_seconds: interval of the upstreams' heartbeats.
     :param random: source of randomness.
-    :param limits: grants requests to rate-limited upstreams.
+    :param limits: counts the grants for each upstream; by default, a new one that knows none.
     """
 
     def __init__(
@@ -52,7 +53,10 @@
         now: float,
         evacuated_zones: Container[str] = (),
     ) -> PlaceAnswer:
-        """Choose an upstream for a request and record the load that it adds there.
+        """Choose an upstream for a request, and record the load that it adds there and any grant.
+
+        Also records the upstreams that the gateway could not reach, and the rate limits that it
+        knows.
 
         :param request: the gateway's placement request.
         :param service: the service that the request is for.
@@ -81,6 +85,8 @@
             return PlaceAnswer("")
         if chosen.crowded and request.patient:
             return PlaceAnswer("", crowded=True)
+        # With a cold rate, requests to warm upstreams count too: one may be cold without its being
+        # known here yet.
         granted = bool(service.cold_rate) or chosen.limited
         if granted:
             self._limits.grant(chosen.instance.id, now)
@@ -89,7 +95,7 @@
         return PlaceAnswer(chosen.instance.id, granted)
 
     def _note_unreached(self, request: PlaceRequest, now: float) -> None:
-        """Record the upstreams that a gateway could not reach, for the requests of all gateways."""
+        """Record the upstreams that a gateway could not reach, for choices for all gateways."""
         if request.unreached:
             self._unreached.prune()
         for instance_id in request.unreached:
@@ -98,28 +104,34 @@
     def _apply_limits(
         self, candidates: Iterator[Candidate], service: ServiceRule, now: float
     ) -> Iterator[Candidate]:
-        """Leave out upstreams that may not receive another request now under their limits.
+        """Leave out upstreams whose limits allow no other request now, and mark some as doubtful.
 
-        An upstream may have become cold since its last heartbeat. One that has received as many
-        requests as a cold one may is therefore marked doubtful, so that others are preferred.
+        An upstream may be cold without its being known here yet. If the service has a cold rate,
+        one with as many recent grants as a cold upstream may have is therefore marked as doubtful:
+        it is chosen only when all others are doubtful too.
         """
-        cold = self._limits.rule.make_bound(service.cold_rate)
+        cold_limit = self._limits.rule.make_bound(service.cold_rate)
         for candidate in candidates:
             instance_id = candidate.instance.id
-            bounds = tuple(self._list_bounds(candidate, service, cold))
+            bounds = tuple(self._list_bounds(candidate, service, cold_limit))
             if bounds and not self._limits.may_get(instance_id, bounds, now):
                 continue
-            if service.cold_rate and self._limits.is_full(instance_id, (cold,), now):
+            if service.cold_rate and self._limits.is_full(instance_id, (cold_limit,), now):
                 yield replace(candidate, doubtful=True)
             else:
                 yield candidate
 
     def _list_bounds(
-        self, candidate: Candidate, service: ServiceRule, cold: Bound
+        self, candidate: Candidate, service: ServiceRule, cold_limit: Bound
     ) -> Iterator[Bound]:
-        """Yield all bounds on the requests that an upstream may receive."""
+        """Yield the limits of an upstream: if it is cold, and if it advertises a rate limit.
+
+        :param candidate: the upstream.
+        :param service: its service.
+        :param cold_limit: the limit on a cold upstream of a service with a cold rate.
+        """
         if candidate.cold and service.cold_rate:
-            yield cold
+            yield cold_limit
         rate_limit = self._fleet.get_rate_limit(candidate.instance.id)
         if rate_limit is not None:
             yield from make_limit_bounds(rate_limit)
