--- a/src/daleroad/loads.py
+++ b/src/daleroad/loads.py
@@ -1,7 +1,8 @@
-"""Load by upstream: totals over all gateways at a coordinator, and one gateway's view. Pure.
+"""Load by upstream: totals over all gateways at a coordinator, and one gateway's view.
 
-Totals are maintained incrementally, since every gateway requests them every second and recomputing
-them for each of 200 gateways took 0.3 ms an answer.
+Totals are updated with each report instead of being summed over all reports for each answer.
+
+Does no I/O; the caller passes in the time.
 """
 
 from collections.abc import Iterable
--- a/src/daleroad/picking.py
+++ b/src/daleroad/picking.py
@@ -1,7 +1,9 @@
-"""Scores candidate upstreams and picks the best one for a request. Performs no I/O.
+"""Scores candidate upstreams and picks the best one for a request.
 
 A gateway knows its own load exactly and that of the others with a delay of a fraction of a second.
 Noise on the scores keeps gateways with equal views from all picking the same upstream.
+
+Does no I/O.
 """
 
 from collections.abc import Iterable
@@ -31,7 +33,7 @@
 """Load added for an upstream that has just started and is still slow."""
 
 LIMITED_PENALTY = 0.25
-"""Load added for an upstream that announced a rate limit."""
+"""Load added for an upstream that advertises a rate limit."""
 
 OVERDUE_PENALTY = 0.4
 """Load added for an overdue heartbeat: the upstream may have crashed, and a generation started
@@ -49,7 +51,7 @@
 ``daleroad placing`` compares results with and without it."""
 
 MAX_PREFERENCE_WEIGHT = 6.0
-"""More gains nothing at 71 gateways that exchange their loads every 0.74 s."""
+"""Largest such load difference, however many gateways there are."""
 
 MAX_FULL_COMPARISON_GATEWAYS = 12
 """Up to so many gateways each compare all upstreams: they make few picks between two load reports.
@@ -68,7 +70,7 @@
     :param sole_in_zone: whether generations there could migrate only to another zone.
     :param overdue: whether the next heartbeat is overdue.
     :param crowded: whether the request exceeds the memory that is expected to be free.
-    :param limited: whether the upstream announced a rate limit.
+    :param limited: whether the upstream advertises a rate limit.
     """
 
     instance: Instance
