--- a/src/daleroad/guarding.py
+++ b/src/daleroad/guarding.py
@@ -5,6 +5,11 @@
 availability zones, upstreams that asked the gateway to back off or are leaving, and sends without
 a grant to rate-limited upstreams, even where a caller has not checked these itself. It also records
 which requests were running when an upstream crashed.
+
+Some things are not refused here. A generation with a source may resume on an upstream that is
+leaving, and its source is not checked. For a request on its last try or a trial
+(:class:`Standing`), the caller chooses the upstream and claims the trial. For a copy and for a
+backup, only the destination's availability zone and its backing off are checked.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -50,12 +55,12 @@
 
     :param suspects: the requests suspected of crashing upstreams.
     :param fleet: the known upstreams.
-    :param tell: called with reports that other processes need.
+    :param tell: called with the reports on suspected requests that other processes need.
     :param zones: the evacuated availability zones.
     :param rests: the upstreams that asked this gateway to back off.
     :param limited: services whose upstreams are rate-limited while they are cold.
     :param grants: the unused grants for rate-limited upstreams.
-    :param ask_grant: requests a further grant.
+    :param ask_grant: requests a grant for an attempt that has none; if None, none is given.
     """
 
     suspects: Suspects
@@ -89,7 +94,7 @@
         return self.advertises_rate_limit(instance) or self.is_fragile(instance)
 
     def advertises_rate_limit(self, instance: Instance) -> bool:
-        """Return whether an upstream states the requests per second that it accepts.
+        """Return whether an upstream advertises a limit on its requests per second.
 
         :param instance: the upstream.
         """
@@ -114,7 +119,7 @@
         return self.find_closed(instance) or self._find_leaving_reason(attempt)
 
     def find_closed(self, instance: Instance) -> str:
-        """Return why an upstream accepts no requests for now, or an empty string.
+        """Return why this gateway sends no requests or copies to an upstream, or an empty string.
 
         :param instance: the upstream.
         """
@@ -125,13 +130,13 @@
         return ""
 
     def _find_leaving_reason(self, attempt: Attempt) -> str:
-        """Return a reason if the attempt is new work for an upstream that is not ready, or "".
+        """Return a reason if the upstream is leaving or gone and the attempt has no source, or "".
 
-        An attempt with a source, whose memory the upstream already holds, may still resume there.
+        An attempt with a source may still resume there. An unknown upstream counts as ready.
         """
         known = self.fleet.get(attempt.instance.id)
         ready = known is None or known.state is InstanceState.READY
-        return "" if ready or attempt.source is not None else "the upstream is leaving"
+        return "" if ready or attempt.source is not None else "the upstream is leaving or gone"
 
     def consume_grant(self, attempt: Attempt) -> bool:
         """Use up a grant if there is one; return whether there was one or none is needed.
@@ -139,15 +144,15 @@
         :param attempt: the attempt.
         """
         instance = attempt.instance
-        held = self.grants.take(instance.id, anyio.current_time())
-        return held or not self.is_limited(instance)
+        had_grant = self.grants.take(instance.id, anyio.current_time())
+        return had_grant or not self.is_limited(instance)
 
     async def request_grant(self, attempt: Attempt) -> bool:
         """Request a grant for an attempt that has none; return whether it was given.
 
-        An attempt placed by the process that places for all gateways has its grant already. Others
-        ask here: streams resumed on another upstream, and attempts that were under way when the
-        upstream stated its limit.
+        An attempt placed by the placer for a rate-limited upstream has its grant already. Others
+        ask here: streams resumed on another upstream, attempts placed before the upstream was known
+        to be limited, and those whose grant has expired.
 
         :param attempt: the attempt.
         """
@@ -173,13 +178,14 @@
         instance = self.fleet.get(attempt.instance.id) or attempt.instance
         leaves = instance.state is not InstanceState.READY
         if leaves and not self.fleet.is_replaced(instance):
-            # An announced shutdown is not a crash.
+            # An announced shutdown is not a crash. A replaced instance is taken to have crashed: it
+            # is marked as gone when a newer start is heard of, even if it announced nothing.
             return
         now = anyio.current_time()
         fingerprint = find_fingerprint(attempt.job, attempt.organisation)
-        route = f"{attempt.job.host}{attempt.job.path}"
+        host_and_path = f"{attempt.job.host}{attempt.job.path}"
         report = self.suspects.record_crash(
-            fingerprint, attempt.organisation, route, attempt.instance.id, now
+            fingerprint, attempt.organisation, host_and_path, attempt.instance.id, now
         )
         if report is None:
             return
@@ -200,9 +206,9 @@
 
 
 def log_suspicion(known: Suspicion | None, standing: Standing) -> None:
-    """Log the crashes recorded for a request.
+    """Log the crashes recorded for a request; ``ended`` has the ids of the instances.
 
-    :param known: what is known of it; None logs nothing.
+    :param known: the report on it; if None, nothing is logged.
     :param standing: its standing.
     """
     if known is None:
@@ -219,7 +225,7 @@
 
 
 class _RecordedStream:
-    """A stream whose outcome is recorded.
+    """Passes on a stream, and records the crash or the success that it ends with.
 
     :param stream: the stream.
     :param attempt: the attempt that opened it.
@@ -234,7 +240,7 @@
         self._guard = guard
 
     async def pieces(self) -> AsyncIterator[Piece | Lost]:
-        """Yield whole events; only a stream that was cut ends with :class:`Lost`."""
+        """Yield complete events, then :class:`Lost` if the stream was interrupted."""
         begun = False
         async for piece in self._stream.pieces():
             if isinstance(piece, Lost):
@@ -243,8 +249,8 @@
                 return
             begun = True
             yield piece
-        # A stream delimited by the end of its connection also ends this way when its upstream
-        # crashes, so an empty one is no proof of success.
+        # A stream that ends with its connection also gets here when its upstream crashes, so one
+        # without any event is not recorded as a success.
         if begun:
             self._guard.record_success(self._attempt)
 
@@ -269,7 +275,7 @@
         reason = self._guard.find_refusal_reason(attempt)
         if not reason and not self._guard.consume_grant(attempt):
             granted = await self._guard.request_grant(attempt)
-            # The answer may have changed while the grant was awaited.
+            # A reason for a refusal may have arisen while the grant was awaited.
             reason = self._guard.find_refusal_reason(attempt) if granted else _NOT_GRANTED
         if reason:
             return NotRun(reason, sent=False, held=True)
@@ -294,11 +300,12 @@
         """Copy a running generation's memory; a final copy stops the generation first."""
         closed = self._guard.find_closed(destination)
         if closed:
+            # This fault is also that of a destination that can't be reached.
             return NotCopied(f"cannot copy to the destination: {closed}", CopyFault.NO_ROOM)
         return await self._inner.copy(job, source, destination, final)
 
     async def report(self, instance: Instance) -> EngineReport | Failure:
-        """Ask an engine for its report; each one has a cost."""
+        """Ask an engine for its report; nothing is checked or recorded."""
         return await self._inner.report(instance)
 
     def forget(self, instance: Instance) -> None:
--- a/src/daleroad/sendlimits.py
+++ b/src/daleroad/sendlimits.py
@@ -1,18 +1,19 @@
 """Sliding-window limits on requests to upstreams, enforced by grants of the leading coordinator.
 
-A cold upstream fails under more requests a second than it can handle, and one under pressure
-advertises in its answers how many it takes from all gateways together. Shares that each gateway
-enforces by itself can't hold a limit below the number of gateways: one request from each at the
-same moment exceeds it (``daleroad cold`` compares the two). So the leading coordinator, which
-places requests for all gateways, counts what it grants for each upstream, and a gateway sends to
-an upstream that it knows to be limited only with a recent grant. Requests to an upstream that
-gateways don't know to be cold yet are counted, too.
-
-Without a leading coordinator nothing is sent to cold upstreams, since the load could end them.
-Upstreams that advertise a limit then get :class:`FallbackShare`: a fraction of the limit, in time
-slots that each gateway draws by hash.
-
-Does no I/O.
+Two kinds of upstreams are limited: cold ones of a service with a cold rate, and those that
+advertise in their answers how many requests a second they take from all gateways together. Shares
+that each gateway enforces by itself can't hold a limit below the number of gateways: one request
+from each at the same moment exceeds it (``daleroad cold`` compares shares and grants). So the
+leading coordinator, which places requests for all gateways, counts what it grants for each
+upstream, and a gateway sends to an upstream that it knows to be limited only with a recent grant.
+If a service has a cold rate, requests to all its upstreams are granted and counted, since one may
+be cold without its being known yet.
+
+Without a leading coordinator nothing is sent to cold upstreams with a cold rate, since they could
+crash under the load. Other upstreams that advertise a limit then get :class:`FallbackShare`: a
+fraction of the limit, in time slots that each gateway draws by hash.
+
+Does no I/O; the caller passes in the time.
 """
 
 import math
@@ -25,23 +26,23 @@
 from daleroad.defaults import CONNECT_SECONDS
 
 GRANT_LIFETIME_SECONDS = 0.2
-"""Lifetime of a grant, from when its gateway asked for it. The gateway waits 0.08 s for the answer
-and sends the request at once then."""
+"""Lifetime of a grant. That of the placer's grants begins when the gateway asks for them; it waits
+PLACE_SECONDS at most for the answer."""
 
 MAX_ARRIVAL_DELAY_SECONDS = GRANT_LIFETIME_SECONDS + CONNECT_SECONDS
-"""Longest time from a grant to the arrival of its request: the grant's lifetime and the time limit
-of the connection. Limits hold for arrivals, not for grants."""
+"""Longest time from a grant to the arrival of its request: its lifetime, and the longest time that
+connecting may take. Limits hold for arrivals, not for grants."""
 
 LOOKBACK_SECONDS = 1.0 + MAX_ARRIVAL_DELAY_SECONDS
 """How far back grants count towards a limit on one second."""
 
 SMOOTHING_WINDOW_SECONDS = 4.0
-"""Window over which an advertised limit holds; within it, each second gets at most its part,
-rounded up."""
+"""Window over which an advertised limit holds. Any one second within it may get the limit of one
+second, rounded up. A limit of less than one request in this window has a longer window."""
 
 PROBE_INTERVAL_SECONDS = 10.0
-"""Interval at which an upstream with a limit near 0 gets one request, since only an answer tells
-that the limit is lifted."""
+"""Longest window of a limit: an upstream gets one request in it even if it advertises a lower rate,
+down to 0, since only an answer tells that the limit is lifted."""
 
 MAX_LOOKBACK_SECONDS = PROBE_INTERVAL_SECONDS + MAX_ARRIVAL_DELAY_SECONDS
 """How long a grant is remembered; no limit looks further back."""
@@ -67,7 +68,7 @@
     """What cold upstreams may get.
 
     :param overage: allowed requests a second, as a multiple of the service's cold rate.
-    :param tolerance: allowed requests a second beyond that.
+    :param tolerance: requests a second that are allowed in addition to that multiple.
     """
 
     overage: float = 1.0
@@ -76,23 +77,23 @@
     def compute_max_requests(self, rate: float) -> int:
         """Return how many requests one cold upstream may get in any second.
 
-        :param rate: requests a second that a cold upstream of the service can handle.
+        :param rate: the service's cold rate, in requests a second.
         """
         return math.floor(rate * self.overage + self.tolerance)
 
     def make_bound(self, rate: float) -> Bound:
         """Return the limit on what one upstream may get while it is cold.
 
-        :param rate: requests a second that a cold upstream of the service can handle.
+        :param rate: the service's cold rate, in requests a second.
         """
         return Bound(self.compute_max_requests(rate), 1.0)
 
 
 def make_limit_bounds(rate: float) -> tuple[Bound, ...]:
-    """Return the window limits for an upstream that advertises a rate.
+    """Return the limits for an upstream that advertises a rate: on one second and a longer window.
 
-    The first spreads grants evenly, so that two successive leaders, which don't know each other's
-    grants, exceed the rate only a little together.
+    The one on a second spreads the grants over the longer window. So two successive leaders, which
+    don't know each other's grants, exceed the rate by less together.
 
     :param rate: requests a second that the upstream takes.
     """
@@ -106,8 +107,9 @@
 class SendLimits:
     """Counts grants per upstream, for upstreams that have a limit or may soon have one.
 
-    Grants of a former leader are not known here. So upstreams with a limit get nothing until those
-    that count towards a limit on one second can't arrive any more.
+    Grants of a former leader are not known here. So upstreams with a limit get nothing in the first
+    LOOKBACK_SECONDS of a term; after that, none of those grants counts towards a limit on one
+    second. Limits on longer windows may be exceeded after a change of leader.
 
     :param rule: what cold upstreams may get.
     """
@@ -154,7 +156,7 @@
         :param now: the time.
         """
         grant_times = self._grant_times.setdefault(instance_id, deque())
-        _drop_expired(grant_times, now)
+        _drop_old(grant_times, now)
         grant_times.append(now)
 
     def prune(self, now: float) -> None:
@@ -163,7 +165,7 @@
         :param now: the time.
         """
         for instance_id, grant_times in list(self._grant_times.items()):
-            _drop_expired(grant_times, now)
+            _drop_old(grant_times, now)
             if not grant_times:
                 del self._grant_times[instance_id]
 
@@ -171,7 +173,7 @@
 def _count_recent(grant_times: deque[float], bound: Bound, now: float) -> int:
     """Return how many granted requests may arrive in one window with one that is granted now.
 
-    Counting stops at the limit.
+    Returns the limit's number of requests if there are more.
     """
     oldest = now - bound.window_seconds - MAX_ARRIVAL_DELAY_SECONDS
     count = 0
@@ -182,8 +184,8 @@
     return count
 
 
-def _drop_expired(grant_times: deque[float], now: float) -> None:
-    """Drop the times of grants that no limit counts any more."""
+def _drop_old(grant_times: deque[float], now: float) -> None:
+    """Drop grants that are older than any limit looks back."""
     while grant_times and grant_times[0] <= now - MAX_LOOKBACK_SECONDS:
         grant_times.popleft()
 
@@ -192,9 +194,10 @@
 class FallbackShare:
     """What one gateway sends to upstreams with an advertised limit without a leading coordinator.
 
-    Time is divided into slots, one for each request that the fraction of the limit allows. Each
-    gateway owns a slot with a probability of one over the number of gateways, drawn by hash. Unused
-    slots are not saved up, or idle gateways could send their shares all at once.
+    Time is divided into slots, one for each request that FALLBACK_FRACTION of the limit allows, and
+    at least one in PROBE_INTERVAL_SECONDS. For each slot, a hash decides whether the gateway owns
+    it, with a probability of one over the number of gateways; several or none may own a slot.
+    Unused slots are not saved up, or idle gateways could send their shares all at once.
 
     :param gateway_id: the gateway.
     """
@@ -232,7 +235,7 @@
     _expiry_times: dict[str, list[float]] = field(default_factory=dict)
 
     def add(self, instance_id: str, expires_at: float, now: float) -> None:
-        """Store a grant, and drop those that have expired.
+        """Store a grant, and drop those of all upstreams that have expired.
 
         :param instance_id: the upstream that the grant is for.
         :param expires_at: when it expires.
