--- a/src/daleroad/suspects.py
+++ b/src/daleroad/suspects.py
@@ -1,18 +1,22 @@
-"""Detection of poison requests, which crash the upstreams that run them. No I/O; time is passed in.
+"""Detection of poison requests, which crash the upstreams that run them.
 
 When an upstream crashes, every request that it was running is a suspect. These rules tell a poison
 request from those that merely ran beside it:
 
 - Only crashes of different instances count, and several are needed.
-- A poison request never has a complete response. Each complete response cancels one crash, recorded
-  by any gateway, shortly before or after it.
+- A poison request never has a complete response. Each complete response cancels one crash that is
+  recorded already, or else becomes a credit, which cancels one recorded soon after.
 - An instance that is heard from after its supposed crash is alive, so that crash is retracted.
-- Crashes of a request that is held and never had a complete response are not counted against
-  requests that had one, nor against requests with fewer crashes than it takes to hold them.
+- A request with CRASHES_HELD crashes or more and no known complete response explains its crashes:
+  they are not counted against requests that had a complete response or have fewer crashes.
 
-The state of each process only grows: crashes by instance, which of them were retracted, and whether
-there was a complete response. Processes exchange parts of it in any order, any number of times, and
-converge.
+Processes exchange reports of crashes by instance, of those that were retracted, and of whether
+there was a complete response. Merging a report adds to these; a retracted crash doesn't come back
+when it is reported again. The reports of ``list_changed`` carry all of these for a request, so
+processes that exchange them, in any order and repeatedly, agree on the crashes, as far as none was
+dropped under the limits below.
+
+Does no I/O; the caller passes in the time.
 """
 
 from collections import Counter, OrderedDict
@@ -21,59 +25,68 @@
 from enum import StrEnum
 
 MIN_CRASHES_LAST_TRY = 2
-"""Crashes after which a request is tried once more, where the least work is lost."""
+"""Counted crashes from which on a request is on its last try, see :class:`Standing`."""
 
 CRASHES_HELD = 3
-"""Crashes after which a request is held: it reaches no upstream. With two, a request that ran
-beside two unrelated crashes would be held; the third try goes where the least work is lost."""
+"""Counted crashes from which on a request is held: it reaches no upstream. With two, a request that
+merely was running during two unrelated crashes would be held."""
 
 HOLD_BACKOFF_SECONDS = (300.0, 3_600.0, 86_400.0)
-"""Time since its last crash after which one gateway may try a held request again: after
-CRASHES_HELD crashes, after one more, and after any further one. A request held by mistake is free
-after minutes; a poison request crashes one more upstream after five minutes, one in the next hour
-and then one a day."""
+"""Time since its last crash after which a held request may be tried again: with CRASHES_HELD
+counted crashes, with one more, and with any higher number. If the trial crashes an upstream, that
+is a further crash; if it has a complete response, that cancels one."""
 
 SUCCEEDED_HOLD_SECONDS = 10.0
-"""The same time for a request that had a complete response, which one that crashes every upstream
-never has; doubled for each further crash, up to the first of HOLD_BACKOFF_SECONDS."""
+"""The same time for a request that had a complete response, with CRASHES_HELD counted crashes;
+doubled for each further one, up to the first of HOLD_BACKOFF_SECONDS. It is shorter since a request
+that crashes every upstream never has a complete response."""
 
 SUSPECT_RETENTION_SECONDS = 600.0
-"""Time since its last crash after which a request that is not held is forgotten."""
+"""Time since its last crash after which a request with fewer than CRASHES_HELD counted crashes is
+forgotten."""
 
 HELD_RETENTION_SECONDS = 2 * HOLD_BACKOFF_SECONDS[-1]
-"""Time since its last crash after which a held request is forgotten."""
+"""Time since its last crash after which a request with CRASHES_HELD counted crashes or more is
+forgotten, whether it is held or may have a trial."""
 
 TRIAL_SECONDS = 10.0
-"""Minimum time between two trials of one request; by then the outcome of the first is known."""
+"""Minimum time between two trials of one request."""
 
 MAX_SUSPECTS = 2048
-"""Requests remembered, at about 600 bytes each. The caller with the most of them loses one of its
-own first."""
+"""Requests remembered. When there is no room for a new one, the organisation with the most of them
+loses one of its own."""
 
 MAX_CRASHES_KEPT = 16
-"""Crashes remembered for one request, and as many retracted ones; far more than it takes to hold
-it."""
+"""Crashes remembered for one request, and as many retracted ones. Further crashes are not recorded,
+and the oldest retractions are forgotten."""
 
 MAX_CREDITED_REQUESTS = 4096
-"""Requests with credits for recent complete responses remembered, at about 150 bytes each."""
+"""Requests remembered that have credits for recent complete responses. Beyond that, the request is
+forgotten whose last complete response is the oldest."""
 
 MAX_CREDITS = 10
-"""Complete responses that one request can have credited at one gateway, each to cancel a later
-crash. Identical requests that come all the time are running on any upstream that crashes."""
+"""Credits that one request can have in one process, each to cancel a later crash. There can be
+several, since identical requests that come all the time are running on any upstream that crashes.
+Their number is limited, so that such a request is still held if it begins to crash upstreams."""
 
 CREDIT_TTL_SECONDS = 10.0
-"""Lifetime of credits: a request that has begun to crash upstreams gets no new ones."""
+"""Time since a request's last credit after which all its credits lapse. While a crash of it is
+recorded here, a complete response cancels that instead of adding a credit."""
 
 
 class Standing(StrEnum):
-    """Whether and how a request may run."""
+    """Whether and how a request may run, by its counted crashes.
+
+    For a last try and a trial, gateways choose the healthy upstream with the fewest requests, so
+    that another crash loses the least work.
+    """
 
     CLEAR = "clear"
     """It may run anywhere."""
     LAST = "last try"
-    """It may run once more, where the least work is lost."""
+    """One more counted crash, and it is held. Until then its tries aren't counted."""
     TRIAL = "trial"
-    """Its hold has expired; one gateway may try it, where the least work is lost."""
+    """Its hold has expired. It may be tried; a gateway must claim the trial (:class:`Trials`)."""
     HELD = "held"
     """It must reach no upstream."""
 
@@ -84,10 +97,10 @@
 
     :param fingerprint: identifies the request.
     :param caller: the organisation that sent it, or empty.
-    :param route: the route that it took.
-    :param crashes: ids of instances that crashed while they ran it.
-    :param cleared: ids of instances whose crash was retracted or cancelled.
-    :param age: seconds since the last of these crashes.
+    :param route: its host and path at a gateway, or its route's name at an entry.
+    :param crashes: ids of instances that crashed while they ran it, without the retracted ones.
+    :param cleared: ids of instances whose crash was retracted, or cancelled by a complete response.
+    :param age: seconds since the last recorded crash of the request.
     :param whole: whether it is known to have had a complete response.
     """
 
@@ -102,7 +115,7 @@
 
 @dataclass
 class _Suspect:
-    caller: str
+    organisation: str
     route: str
     last_crash_at: float
     revision: int
@@ -116,7 +129,7 @@
         return instance in self.crashes or instance in self.retracted
 
     def count_crashes(self) -> int:
-        """Return the number of crashes, including those that another request explains."""
+        """Return the number of crashes not retracted, also of those that another explains."""
         return len(self.crashes)
 
     def add_crashes(self, instances: Iterable[str]) -> bool:
@@ -139,7 +152,7 @@
 
 @dataclass(frozen=True)
 class _Credits:
-    """Complete responses that cancel crashes, and when the last of them came."""
+    """Complete responses that cancel later crashes, and when the last of them was recorded."""
 
     count: int
     at: float
@@ -148,10 +161,11 @@
 class Suspects:
     """The requests that one process suspects of crashing upstreams.
 
-    A request is flagged once it has MIN_CRASHES_LAST_TRY crashes, and stays flagged.
+    A request is flagged once it has MIN_CRASHES_LAST_TRY crashes, and stays flagged when crashes
+    are retracted, so that those who heard of it hear of the retraction.
 
-    ``revision`` grows with each change that other processes need; ``marked_revision`` is that of
-    the last change of a flagged request.
+    :ivar revision: grows with each change that a report makes here.
+    :ivar marked_revision: the revision of the last change to a flagged request.
     """
 
     def __init__(self) -> None:
@@ -196,7 +210,9 @@
         return self._retract(fingerprint, suspect, [first], now, succeeded=True)
 
     def refute(self, fingerprint: str, now: float) -> Suspicion | None:
-        """Cancel crashes recorded elsewhere with credits held here; return a report for others.
+        """Cancel a request's crashes with its credits here; return a report for others, if any.
+
+        Called after reports of other processes were merged.
 
         :param fingerprint: the request.
         :param now: the time.
@@ -238,15 +254,19 @@
         now: float,
         succeeded: bool = False,
     ) -> Suspicion:
-        cleared = tuple(instances)
+        retracted = tuple(instances)
         age = now - suspect.last_crash_at
-        report = Suspicion(fingerprint, suspect.caller, suspect.route, (), cleared, age, succeeded)
+        report = Suspicion(
+            fingerprint, suspect.organisation, suspect.route, (), retracted, age, succeeded
+        )
         self.merge(report, now)
         return report
 
     def merge(self, report: Suspicion, now: float) -> bool:
         """Merge a report into the state here; return whether it changed anything.
 
+        A report without crashes is ignored if its request is unknown here.
+
         :param report: the report, made here or by another process.
         :param now: the time.
         """
@@ -259,30 +279,37 @@
             self._known[report.fingerprint] = suspect
         retracted = suspect.retract(report.cleared)
         added = suspect.add_crashes(report.crashes)
-        proved = report.whole and not suspect.succeeded
+        newly_succeeded = report.whole and not suspect.succeeded
         suspect.succeeded = suspect.succeeded or report.whole
         if added:
             suspect.last_crash_at = max(suspect.last_crash_at, now - report.age)
-        if added or retracted or proved:
+        if added or retracted or newly_succeeded:
             self.revision += 1
             suspect.revision = self.revision
             suspect.flagged = suspect.flagged or suspect.count_crashes() >= MIN_CRASHES_LAST_TRY
             if suspect.flagged:
                 self.marked_revision = self.revision
             self._update_counts()
-        return added or retracted or proved
+        return added or retracted or newly_succeeded
 
     def _evict(self) -> None:
-        """Make room for a new suspect: drop one of the caller that has the most."""
+        """Make room for a new suspect: drop one of the organisation that has the most.
+
+        It is the one with the fewest crashes, and among these with the oldest last crash.
+        """
         if len(self._known) < MAX_SUSPECTS:
             return
-        ((caller, _),) = Counter(s.caller for s in self._known.values()).most_common(1)
-        own = ((f, s) for f, s in self._known.items() if s.caller == caller)
+        counts = Counter(s.organisation for s in self._known.values())
+        ((organisation, _),) = counts.most_common(1)
+        own = ((f, s) for f, s in self._known.items() if s.organisation == organisation)
         least, _ = min(own, key=lambda pair: (pair[1].count_crashes(), pair[1].last_crash_at))
         del self._known[least]
 
     def _update_counts(self) -> None:
-        """Count the crashes of each flagged request that no other request explains."""
+        """Count the crashes that no other request explains, by request.
+
+        Only requests with MIN_CRASHES_LAST_TRY crashes or more, explained or not, have a count.
+        """
         candidates = [
             (f, s) for f, s in self._known.items() if s.count_crashes() >= MIN_CRASHES_LAST_TRY
         ]
@@ -292,7 +319,8 @@
                 explained |= suspect.crashes.keys()
         self._counts = {}
         for fingerprint, suspect in candidates:
-            # A request that may itself be poison keeps its count: another must not explain it away.
+            # A request that may itself be poison explains crashes, but all of its own are counted:
+            # two that crash the same upstreams would otherwise explain each other's away.
             poison = suspect.count_crashes() >= CRASHES_HELD and not suspect.succeeded
             crashes = suspect.crashes.keys()
             self._counts[fingerprint] = len(crashes if poison else crashes - explained)
@@ -315,7 +343,10 @@
         return Standing.HELD if self.get_held_left(fingerprint, now) > 0 else Standing.TRIAL
 
     def get_held_left(self, fingerprint: str, now: float) -> float:
-        """Return the seconds until the hold on a request expires.
+        """Return the seconds until the hold on a request expires; 0 if it has.
+
+        Returns 0 for an unknown request. Doesn't check that a known one has enough crashes to be
+        held.
 
         :param fingerprint: the request.
         :param now: the time.
@@ -353,7 +384,7 @@
 
         :param now: the time.
         :param revision: the last revision that the recipient knows.
-        :param marked: whether to return flagged requests only.
+        :param marked: whether to return reports on flagged requests only.
         """
         return tuple(
             _make_report(fingerprint, suspect, now)
@@ -368,8 +399,8 @@
         """
         forgotten = False
         for fingerprint, suspect in list(self._known.items()):
-            held = self._counts.get(fingerprint, 0) >= CRASHES_HELD
-            retention = HELD_RETENTION_SECONDS if held else SUSPECT_RETENTION_SECONDS
+            has_hold = self._counts.get(fingerprint, 0) >= CRASHES_HELD
+            retention = HELD_RETENTION_SECONDS if has_hold else SUSPECT_RETENTION_SECONDS
             if now - suspect.last_crash_at > retention:
                 del self._known[fingerprint]
                 forgotten = True
@@ -383,7 +414,7 @@
             self._credits.popitem(last=False)
 
     def _use_credits(self, fingerprint: str, most: int, now: float) -> int:
-        """Use up to so many credits of a request; return how many were used."""
+        """Use up at most ``most`` credits of a request that have not lapsed; return how many."""
         known = self._credits.pop(fingerprint, None)
         if known is None or now - known.at > CREDIT_TTL_SECONDS:
             return 0
@@ -394,7 +425,7 @@
 
 
 class Trials:
-    """Which trials of held requests were given lately: one at a time for each request."""
+    """The trials of requests that were claimed in the last TRIAL_SECONDS, one for each request."""
 
     def __init__(self) -> None:
         self._claimed_at: dict[str, float] = {}
@@ -415,7 +446,7 @@
 def _make_report(fingerprint: str, suspect: _Suspect, now: float) -> Suspicion:
     return Suspicion(
         fingerprint,
-        suspect.caller,
+        suspect.organisation,
         suspect.route,
         tuple(suspect.crashes),
         tuple(suspect.retracted),
