--- a/src/daleroad/backpressure.py
+++ b/src/daleroad/backpressure.py
@@ -1,6 +1,6 @@
 """Backpressure that upstreams report in their answers, and the backoff that they ask for.
 
-Does no I/O.
+Does no I/O; the caller passes in the time.
 """
 
 from dataclasses import dataclass, field
--- a/src/daleroad/batching.py
+++ b/src/daleroad/batching.py
@@ -1,9 +1,11 @@
-"""A model of an inference engine with continuous batching and limited memory. Pure.
+"""A model of an inference engine with continuous batching and limited memory.
 
 The stand-in engine and the bench run it step by step. Times are in seconds, memory in tokens. A
 step produces one token for each running sequence. When memory would overflow, the running sequence
 of the lowest priority is preempted, the latest among equals: its memory is freed, and its prompt
 and output are prefilled again when it resumes.
+
+Does no I/O.
 """
 
 from collections import OrderedDict
--- a/src/daleroad/candidates.py
+++ b/src/daleroad/candidates.py
@@ -1,4 +1,7 @@
-"""Lists the upstreams that may serve a request, with their load and health. Performs no I/O."""
+"""Lists the upstreams that may serve a request, with their load and health.
+
+Does no I/O; the caller passes in the time.
+"""
 
 from collections import Counter
 from collections.abc import Callable, Container, Iterator
--- a/src/daleroad/delivery.py
+++ b/src/daleroad/delivery.py
@@ -1,4 +1,4 @@
-"""Parses an engine's event stream and delivers each token once and in order. Pure."""
+"""Parses an engine's event stream and delivers each token once and in order. Does no I/O."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
--- a/src/daleroad/directory.py
+++ b/src/daleroad/directory.py
@@ -1,6 +1,6 @@
 """Lookups in the catalog: stewards, a service's upstreams, organisations and routes.
 
-Performs no I/O.
+Does no I/O.
 """
 
 from collections.abc import Iterable
--- a/src/daleroad/documents.py
+++ b/src/daleroad/documents.py
@@ -1,6 +1,6 @@
 """Recent versions of the routing configuration, from which followers are sent patches.
 
-No I/O.
+Does no I/O.
 """
 
 from dataclasses import dataclass, field
--- a/src/daleroad/evacuations.py
+++ b/src/daleroad/evacuations.py
@@ -1,8 +1,10 @@
-"""Replicated state of availability zones that operators evacuated. Performs no I/O.
+"""Replicated state of availability zones that operators evacuated.
 
 Upstreams in an evacuated zone get no requests. The orders are entries in the coordinators'
 replicated log, which gives their sequence and their durability. Processes use the newest state that
 they know; states are compared by the log index of the order that produced them.
+
+Does no I/O.
 """
 
 from dataclasses import dataclass, replace
--- a/src/daleroad/fairness.py
+++ b/src/daleroad/fairness.py
@@ -1,8 +1,10 @@
-"""Hierarchical fair queueing: by partner, then by organisation, then first in, first out. Pure.
+"""Hierarchical fair queueing: by partner, then by organisation, then first in, first out.
 
 At each level, the virtual time of a queue grows by the tokens charged to it over its weight, and
 the backlogged queue with the least virtual time is served next. A queue that was empty resumes at
 the virtual time of the level, so idle capacity is used by others and no credit accumulates.
+
+Does no I/O.
 """
 
 from collections import deque
--- a/src/daleroad/fleet.py
+++ b/src/daleroad/fleet.py
@@ -1,4 +1,4 @@
-"""Registry of upstream instances, built from their heartbeats. Performs no I/O.
+"""Registry of upstream instances, built from their heartbeats.
 
 An *instance* is one process of an upstream. It numbers its heartbeats, so that those that arrive
 out of order are recognised. An instance that is gone is kept for a while, so that a delayed
@@ -9,6 +9,8 @@
 belongs to one start. Starts are ordered by the upstream's own clock, since nothing else tells a
 restart from a delayed heartbeat. If that clock is set back, the later start is ignored until the
 earlier one expires: MAX_HEARTBEAT_AGE_SECONDS after a crash, GONE_KEPT_SECONDS after a leave.
+
+Does no I/O; the caller passes in the time.
 """
 
 from collections.abc import Iterable, Iterator
--- a/src/daleroad/frames.py
+++ b/src/daleroad/frames.py
@@ -1,8 +1,10 @@
-"""Questions and answers as bytes on a channel between two of our processes. Pure.
+"""Questions and answers as bytes on a channel between two of our processes.
 
 Each direction of a channel is one compressed stream of frames: a line with a number, a label and
 the body's length, then the body. Messages repeat each other, so what was sent before makes the next
 one short: 40 questions of one gateway, 283 bytes in the mean, took 32 each.
+
+Does no I/O.
 """
 
 import zlib
--- a/src/daleroad/health.py
+++ b/src/daleroad/health.py
@@ -1,7 +1,9 @@
-"""Ejection of failing upstreams, and their return after a successful trial. Performs no I/O.
+"""Ejection of failing upstreams, and their return after a successful trial.
 
 There are two detectors: a count of consecutive failures, and Wald's sequential probability ratio
 test of the failure rate. :mod:`daleroad.detection` compares them.
+
+Does no I/O; the caller passes in the time.
 """
 
 import math
--- a/src/daleroad/jobs.py
+++ b/src/daleroad/jobs.py
@@ -1,4 +1,7 @@
-"""Parses and authenticates generation requests, and picks their model version. Pure."""
+"""Parses and authenticates generation requests, and picks their model version.
+
+Does no I/O; the caller passes in the time.
+"""
 
 from dataclasses import dataclass, replace
 
--- a/src/daleroad/lengths.py
+++ b/src/daleroad/lengths.py
@@ -1,4 +1,4 @@
-"""Estimates output lengths from recent ones of the same route and model version. Pure."""
+"""Estimates output lengths from recent ones of the same route and model version. Does no I/O."""
 
 from collections import deque
 
--- a/src/daleroad/location.py
+++ b/src/daleroad/location.py
@@ -1,4 +1,4 @@
-"""Selection of the entry addresses in a locate answer. Performs no I/O."""
+"""Selection of the entry addresses in a locate answer. Does no I/O."""
 
 from collections.abc import Iterable
 from random import Random
--- a/src/daleroad/logs.py
+++ b/src/daleroad/logs.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class LineBudget:
-    """Bounds the lines of each event. Pure.
+    """Limits the lines of each event. Does no I/O; the caller passes in the time.
 
     :param rate: lines a second.
     :param burst: lines saved up at most.
--- a/src/daleroad/orders.py
+++ b/src/daleroad/orders.py
@@ -1,9 +1,11 @@
-"""Scheduling of model orders to engines: which to send next, and when one is fulfilled. No I/O.
+"""Scheduling of model orders to engines: which to send next, and when one is fulfilled.
 
 The leader sends orders with a fencing number from the log. Some engines ignore the number, so a
 new leader sends none until its predecessor's lease must have expired, each engine has at most one
 order in progress, and its state is read back until it matches. Model loads read from the
 rate-limited weight store and are limited by a token bucket.
+
+Does no I/O; the caller passes in the time.
 """
 
 from collections.abc import Iterable, Iterator
--- a/src/daleroad/outbox.py
+++ b/src/daleroad/outbox.py
@@ -1,4 +1,4 @@
-"""News that several others must hear, each at its own pace. Pure."""
+"""News that several others must hear, each at its own pace. Does no I/O."""
 
 from collections import deque
 from typing import Generic, TypeVar
--- a/src/daleroad/patches.py
+++ b/src/daleroad/patches.py
@@ -1,9 +1,11 @@
-"""Binary patches between versions of a text, by compression with a preset dictionary. No I/O.
+"""Binary patches between versions of a text, by compression with a preset dictionary.
 
 A change of the routing configuration usually alters a weight or a limit in tens of kilobytes, and
 three coordinators each send it to hundreds of gateways. The new text is split into blocks. Each is
 compressed with DEFLATE, with the old text around the same offset as the dictionary, so that
 unchanged text takes a few bytes unless it has moved far.
+
+Does no I/O.
 """
 
 import zlib
--- a/src/daleroad/peers.py
+++ b/src/daleroad/peers.py
@@ -1,4 +1,7 @@
-"""The other coordinators that one knows of, and when each was heard. Pure."""
+"""The other coordinators that one knows of, and when each was heard.
+
+Does no I/O but for its log events; the caller passes in the time.
+"""
 
 from dataclasses import dataclass, field
 
--- a/src/daleroad/placement.py
+++ b/src/daleroad/placement.py
@@ -1,4 +1,4 @@
-"""Ranks upstreams by prefix affinity with bounded loads, or by load. Pure."""
+"""Ranks upstreams by prefix affinity with bounded loads, or by load. Does no I/O."""
 
 from collections.abc import Callable, Iterable
 from random import Random
--- a/src/daleroad/plans.py
+++ b/src/daleroad/plans.py
@@ -1,8 +1,10 @@
-"""Plan for migrating the runs of one engine that is shutting down. No I/O but for its events.
+"""Plan for migrating the runs of one engine that is shutting down.
 
 All gateways with runs on the engine compute the same plan from the engine's report. A run that
 began too late to be in that report is scheduled by a second plan, made when all runs of the first
 have been copied; otherwise its copy would delay the short final copies of the others.
+
+Does no I/O; the caller passes in the time.
 """
 
 from collections.abc import Iterable
--- a/src/daleroad/quota.py
+++ b/src/daleroad/quota.py
@@ -4,7 +4,7 @@
 of a failed entry expire, and an entry that begins to count for an organisation learns which slots
 are held before it gives out new ones.
 
-Does no I/O.
+Does no I/O; the caller passes in the time.
 """
 
 from collections.abc import Iterable
--- a/src/daleroad/ratelimits.py
+++ b/src/daleroad/ratelimits.py
@@ -1,4 +1,7 @@
-"""Rate limits that upstreams advertise, as one process knows them. Does no I/O."""
+"""Rate limits that upstreams advertise, as one process knows them.
+
+Does no I/O; the caller passes in the time.
+"""
 
 from dataclasses import dataclass
 
--- a/src/daleroad/retries.py
+++ b/src/daleroad/retries.py
@@ -1,4 +1,4 @@
-"""Retry budgets and exponential backoff with jitter. Pure."""
+"""Retry budgets and exponential backoff with jitter. Does no I/O; the caller passes in the time."""
 
 from collections import deque
 from random import Random
--- a/src/daleroad/roster.py
+++ b/src/daleroad/roster.py
@@ -1,4 +1,7 @@
-"""The leader's record of entries' leases and applied revisions. Performs no I/O."""
+"""The leader's record of entries' leases and applied revisions.
+
+Does no I/O; the caller passes in the time.
+"""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
--- a/src/daleroad/routing.py
+++ b/src/daleroad/routing.py
@@ -1,7 +1,9 @@
-"""Routing configuration of a gateway, its validation, and the table that matches requests. Pure.
+"""Routing configuration of a gateway, its validation, and the table that matches requests.
 
 A configuration is replaced as a whole, under a higher version. The table finds a request's route,
 the organisation that sent it and the service that receives it.
+
+Does no I/O.
 """
 
 from collections import Counter
--- a/src/daleroad/standings.py
+++ b/src/daleroad/standings.py
@@ -1,7 +1,9 @@
-"""Detection of disks that were rolled back to an older state. Does no I/O.
+"""Detection of disks that were rolled back to an older state.
 
 Each member reports a mark that grows with its starts and its log. The others persist the newest
 mark that they saw. A member that reports a lower one has lost votes or entries that it had saved.
+
+Does no I/O.
 """
 
 from collections.abc import Iterable
--- a/src/daleroad/suspectmodel.py
+++ b/src/daleroad/suspectmodel.py
@@ -1,9 +1,11 @@
-"""Simulation that compares rules for holding back poison requests, in virtual time. No I/O.
+"""Simulation that compares rules for holding back poison requests, in virtual time.
 
 Engines crash for reasons of their own: one at a time, several at once, or one after another. The
 requests that were running there are cut, and callers retry them. Some requests are identical to
 others and come all the time. In some cases there are also poison requests, which crash each engine
 that runs them. The figure of merit is how often a rule holds back an innocent request.
+
+Does no I/O.
 """
 
 import heapq
--- a/src/daleroad/unreached.py
+++ b/src/daleroad/unreached.py
@@ -5,7 +5,7 @@
 network partition between availability zones, failures are counted by the zone that they were seen
 from.
 
-Does no I/O.
+Does no I/O; the caller passes in the time.
 """
 
 from dataclasses import dataclass, field
--- a/src/daleroad/workload.py
+++ b/src/daleroad/workload.py
@@ -1,4 +1,4 @@
-"""Workloads for the bench: both partners' kinds of work with heavy-tailed lengths. Pure."""
+"""Workloads for the bench: both partners' kinds of work with heavy-tailed lengths. Does no I/O."""
 
 import math
 from collections.abc import Iterator
