--- a/src/daleroad/admission.py
+++ b/src/daleroad/admission.py
@@ -336,7 +336,7 @@
         aged = self._has_aged_request(now)
         if aged:
             decisions.extend(self._admit_from(self._normal_queue, now, confine_urgent=False))
-        decisions.extend(self._admit_from(self._urgent_queue, now, confine_urgent=aged))
+        decisions.extend(self._admit_from(self._urgent_queue, now, aged))
         decisions.extend(self._admit_from(self._normal_queue, now, confine_urgent=False))
         return decisions
 
--- a/src/daleroad/suspects.py
+++ b/src/daleroad/suspects.py
@@ -299,8 +299,7 @@
         """
         if len(self._known) < MAX_SUSPECTS:
             return
-        counts = Counter(s.organisation for s in self._known.values())
-        ((organisation, _),) = counts.most_common(1)
+        ((organisation, _),) = Counter(s.organisation for s in self._known.values()).most_common(1)
         own = ((f, s) for f, s in self._known.items() if s.organisation == organisation)
         least, _ = min(own, key=lambda pair: (pair[1].count_crashes(), pair[1].last_crash_at))
         del self._known[least]
