--- a/src/daleroad/consensus.py
+++ b/src/daleroad/consensus.py
@@ -243,8 +243,7 @@
         """
         self.now = max(self.now, now)
         if not self.has_lease(now):
-            reason = f"this member has no leader lease; known leader: {self.leader or 'none'}"
-            return Failure(FailureKind.NOT_LEADER, reason)
+            return Failure(FailureKind.NOT_LEADER, self.leader)
         appended = self._append_payloads(EntryKind.CHANGE, list(payloads))
         self._send_appends(force=False)
         return [entry.index for entry in appended]
@@ -260,11 +259,12 @@
         """
         self.now = max(self.now, now)
         if not self.has_lease(now):
-            reason = f"this member has no leader lease; known leader: {self.leader or 'none'}"
-            return Failure(FailureKind.NOT_LEADER, reason)
+            return Failure(FailureKind.NOT_LEADER, self.leader)
         if len(self._list_memberships()) > 1 or self.get_term_at(self.commit) != self.term:
-            reason = "a membership change or the first entry of this term is not committed yet"
-            return Failure(FailureKind.CONFLICT, reason)
+            return Failure(
+                FailureKind.CONFLICT,
+                "a membership change or the first entry of this term is not committed yet",
+            )
         entry = LogEntry(self.last_index + 1, self.term, EntryKind.MEMBERS, "", members)
         self._append_entries((entry,))
         self._send_appends(force=False)
--- a/src/daleroad/stewardship.py
+++ b/src/daleroad/stewardship.py
@@ -122,8 +122,11 @@
         env = self._env
         managed = self._managed.get(request.upstream)
         if managed is None or request.epoch > env.catalog.epoch:
-            reason = "this entry is not the upstream's steward, or its catalog is outdated"
-            return Failure(FailureKind.CONFLICT, reason, retry_after=0.1)
+            return Failure(
+                FailureKind.CONFLICT,
+                "this entry is not the upstream's steward, or its catalog is outdated",
+                retry_after=0.1,
+            )
         if not env.follower.has_lease():
             return Failure(
                 FailureKind.NO_LEASE, "the steward does not hold a lease", retry_after=1.0
