--- a/src/daleroad/__init__.py
+++ b/src/daleroad/__init__.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 _HOMES = {
-    "Admission": "admission",
+    "AdmissionController": "admission",
     "Caller": "caller",
     "Control": "control",
     "DaleroadError": "errors",
--- a/src/daleroad/admission.py
+++ b/src/daleroad/admission.py
@@ -9,10 +9,15 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from daleroad.defaults import AGEING_SECONDS, PERMIT_SECONDS, QUEUE_MOST, URGENT_RESERVE
+from daleroad.defaults import (
+    MAX_QUEUED_REQUESTS,
+    PERMIT_TIMEOUT_SECONDS,
+    STARVATION_SECONDS,
+    URGENT_RESERVE,
+)
 from daleroad.errors import Failure, FailureKind
 from daleroad.fairness import FairQueue
-from daleroad.lengths import Lengths
+from daleroad.lengths import OutputLengths
 from daleroad.messages import Work
 
 MAX_UNKNOWN_OUTPUT_TOKENS = 32_768
@@ -22,24 +27,24 @@
 
 
 @dataclass(frozen=True)
-class Unlimited:
+class UnlimitedPolicy:
     """Admits every request. A baseline for the bench."""
 
 
 @dataclass(frozen=True)
-class FixedLimit:
+class FixedLimitPolicy:
     """Admits up to a fixed number of concurrent requests. A baseline for the bench."""
 
     max_requests: int
 
 
 @dataclass(frozen=True)
-class MeanLength:
+class MeanLengthPolicy:
     """Admits while memory suffices if each output has the mean length. A baseline for the bench."""
 
 
 @dataclass(frozen=True)
-class PeakMemory:
+class PeakMemoryPolicy:
     """Admits while the batch's expected peak memory fits.
 
     Output lengths are estimated by a quantile of the lengths seen. A preemption raises the quantile
@@ -54,11 +59,11 @@
     target_preemptions: float = 0.015
 
 
-Policy = Unlimited | FixedLimit | MeanLength | PeakMemory
+Policy = UnlimitedPolicy | FixedLimitPolicy | MeanLengthPolicy | PeakMemoryPolicy
 
 
 @dataclass(frozen=True)
-class Granted:
+class Admitted:
     """The request may be dispatched now."""
 
     work: Work
@@ -68,11 +73,11 @@
 class Queued:
     """The request is queued.
 
-    :param wait: expected wait in seconds.
+    :param wait_seconds: expected wait in seconds.
     """
 
     work: Work
-    wait: float
+    wait_seconds: float
 
 
 @dataclass(frozen=True)
@@ -86,7 +91,7 @@
     failure: Failure
 
 
-Decision = Granted | Queued | Refused
+Decision = Admitted | Queued | Refused
 
 
 @dataclass
@@ -115,7 +120,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class UpstreamReport:
     """An upstream's report of its load.
 
     :param used_tokens: memory in use.
@@ -144,7 +149,7 @@
     return peak
 
 
-class Admission:
+class AdmissionController:
     """The admitted requests, the queues and the admission policy of one upstream.
 
     :param capacity: memory in tokens; 0 if only the number of slots is limited.
@@ -163,16 +168,16 @@
         self,
         capacity: int,
         slots: int,
-        lengths: Lengths,
+        lengths: OutputLengths,
         policy: Policy,
-        max_queued: int = QUEUE_MOST,
+        max_queued: int = MAX_QUEUED_REQUESTS,
         urgent_reserve: float = URGENT_RESERVE,
     ) -> None:
         self.capacity = capacity
         self.slots = slots
         self.lengths = lengths
         self.policy = policy
-        self.quantile = policy.initial_quantile if isinstance(policy, PeakMemory) else 0.0
+        self.quantile = policy.initial_quantile if isinstance(policy, PeakMemoryPolicy) else 0.0
         self.draining = False
         self.rebuilding = False
         self._max_queued = max_queued
@@ -213,7 +218,7 @@
             return slots
         return max(slots, self._estimate_peak(None) / self.capacity)
 
-    def count_waiting(self) -> int:
+    def count_queued(self) -> int:
         """Return the number of queued requests."""
         return len(self._queued)
 
@@ -241,7 +246,7 @@
         queue = self._urgent_queue if work.urgent else self._normal_queue
         if not len(queue) and self._can_admit(work, now):
             self._admit(work, now, queue)
-            return Granted(work)
+            return Admitted(work)
         wait = self._estimate_wait(work)
         if not may_wait:
             return Refused(
@@ -305,7 +310,7 @@
             work, now, produced_tokens, reported, produced_tokens
         )
 
-    def report(self, load: Load, now: float) -> None:
+    def report(self, load: UpstreamReport, now: float) -> None:
         """Reconcile the admitted requests with the upstream's report.
 
         :param load: the report.
@@ -327,12 +332,12 @@
             self._raise_quantile(load.preemptions - self._preemptions)
         self._preemptions = load.preemptions
 
-    def advance(self, now: float) -> list[Granted | Refused]:
+    def process_queues(self, now: float) -> list[Admitted | Refused]:
         """Admit queued requests that fit, and refuse those whose deadline has passed.
 
         :param now: the time.
         """
-        decisions: list[Granted | Refused] = list(self._refuse_expired(now))
+        decisions: list[Admitted | Refused] = list(self._refuse_expired(now))
         aged = self._has_aged_request(now)
         if aged:
             decisions.extend(self._admit_from(self._normal_queue, now, confine_urgent=False))
@@ -352,14 +357,14 @@
 
     def _admit_from(
         self, queue: FairQueue[_QueuedRequest], now: float, confine_urgent: bool
-    ) -> Iterator[Granted | Refused]:
+    ) -> Iterator[Admitted | Refused]:
         while (queued := queue.peek()) is not None:
             if not self._can_admit(queued.work, now, confine_urgent):
                 return
             queue.pop()
             del self._queued[queued.work.generation]
             self._admit(queued.work, now, queue)
-            yield Granted(queued.work)
+            yield Admitted(queued.work)
 
     def _remember_finished(self, generation_id: str) -> None:
         self._finished_ids[generation_id] = None
@@ -380,12 +385,12 @@
         queue.remove(queued.work.partner, queued.work.organisation, queued)
 
     def _has_aged_request(self, now: float) -> bool:
-        """Return whether the next non-urgent request was queued over AGEING_SECONDS ago."""
+        """Return whether the next non-urgent request was queued over STARVATION_SECONDS ago."""
         head = self._normal_queue.peek()
-        return head is not None and now - head.queued_at > AGEING_SECONDS
+        return head is not None and now - head.queued_at > STARVATION_SECONDS
 
     def _admit(self, work: Work, now: float, queue: FairQueue[_QueuedRequest]) -> None:
-        expected = min(self.lengths.estimate_mean(work.route, work.model), work.most_tokens)
+        expected = min(self.lengths.estimate_mean_tokens(work.route, work.model), work.most_tokens)
         self._admitted[work.generation] = _AdmittedRequest(work, now, charged_tokens=expected)
         queue.charge(work.partner, work.organisation, expected)
 
@@ -394,7 +399,7 @@
 
         Urgent requests may use the whole upstream, others all but the reserve. With
         ``confine_urgent`` or while rebuilding, only the reserve is available, and only urgent
-        requests count as its use. Unlimited and FixedLimit have no reserve.
+        requests count as its use. Unlimited and FixedLimitPolicy have no reserve.
 
         :param work: the request.
         :param now: the time.
@@ -409,11 +414,11 @@
             share = self._urgent_reserve
             admitted = [a for a in admitted if a.work.urgent]
         match self.policy:
-            case Unlimited():
+            case UnlimitedPolicy():
                 return True
-            case FixedLimit(max_requests):
+            case FixedLimitPolicy(max_requests):
                 return len(self._admitted) < max_requests
-            case MeanLength() | PeakMemory():
+            case MeanLengthPolicy() | PeakMemoryPolicy():
                 if len(admitted) + 1 > max(1.0, self.slots * share):
                     return False
                 if not self.capacity or not admitted:
@@ -437,10 +442,10 @@
         return compute_peak_memory(sequences)
 
     def _estimate_remaining(self, work: Work, produced_tokens: int) -> float:
-        if isinstance(self.policy, MeanLength):
-            mean = self.lengths.estimate_mean(work.route, work.model)
+        if isinstance(self.policy, MeanLengthPolicy):
+            mean = self.lengths.estimate_mean_tokens(work.route, work.model)
             return max(1.0, min(mean, work.most_tokens) - produced_tokens)
-        return self.lengths.estimate_rest(
+        return self.lengths.estimate_remaining_tokens(
             work.route, work.model, produced_tokens, work.most_tokens, self.quantile
         )
 
@@ -457,7 +462,7 @@
         for queued in self._queued.values():
             other = queued.work
             if other.urgent or not work.urgent:
-                mean = self.lengths.estimate_mean(other.route, other.model)
+                mean = self.lengths.estimate_mean_tokens(other.route, other.model)
                 tokens = min(mean, other.most_tokens)
                 total += tokens
                 own += tokens if other.partner == work.partner else 0.0
@@ -490,7 +495,9 @@
             self._tokens_per_second += 0.2 * (rate - self._tokens_per_second)
         self._reported_at = now
 
-    def _add_unknown(self, generation_id: str, load: Load, now: float) -> _AdmittedRequest | None:
+    def _add_unknown(
+        self, generation_id: str, load: UpstreamReport, now: float
+    ) -> _AdmittedRequest | None:
         """Add a placeholder for a reported generation that is not among the admitted requests.
 
         It has no route, and all memory that the known requests don't explain is taken for its
@@ -507,21 +514,21 @@
         self._admitted[generation_id] = admitted
         return admitted
 
-    def _drop_missing(self, load: Load, now: float) -> None:
-        """Drop requests that the upstream no longer reports, or not within PERMIT_SECONDS."""
+    def _drop_missing(self, load: UpstreamReport, now: float) -> None:
+        """Drop requests that the upstream no longer reports, or not within PERMIT_TIMEOUT_SECONDS."""
         for generation_id, admitted in list(self._admitted.items()):
-            overdue = now > admitted.admitted_at + PERMIT_SECONDS
+            overdue = now > admitted.admitted_at + PERMIT_TIMEOUT_SECONDS
             if generation_id not in load.produced_tokens and (admitted.reported or overdue):
                 self.finish(generation_id, admitted.produced_tokens, ok=False)
 
     def _raise_quantile(self, preemptions: int) -> None:
-        if isinstance(self.policy, PeakMemory):
+        if isinstance(self.policy, PeakMemoryPolicy):
             raised = self.quantile + preemptions * self.policy.step * (
                 1 - self.policy.target_preemptions
             )
             self.quantile = min(self.policy.max_quantile, raised)
 
     def _lower_quantile(self) -> None:
-        if isinstance(self.policy, PeakMemory):
+        if isinstance(self.policy, PeakMemoryPolicy):
             lowered = self.quantile - self.policy.step * self.policy.target_preemptions
             self.quantile = max(self.policy.min_quantile, lowered)
--- a/src/daleroad/backpressure.py
+++ b/src/daleroad/backpressure.py
@@ -10,21 +10,21 @@
 class Backpressure:
     """What the head of one answer reports about the upstream that sent it.
 
-    :param limit: requests a second that it takes from all gateways together, or None if it
-        advertises no limit.
-    :param rest: seconds for which the gateway must not send to it, or 0.
+    :param max_requests_per_second: requests a second that it takes from all gateways together,
+        or None if it advertises no limit.
+    :param backoff_seconds: seconds for which the gateway must not send to it, or 0.
     :param leaving: whether it is leaving.
-    :param cold: seconds for which it is still cold, or None if it does not say.
+    :param cold_seconds: seconds for which it is still cold, or None if it does not say.
     """
 
-    limit: float | None = None
-    rest: float = 0.0
+    max_requests_per_second: float | None = None
+    backoff_seconds: float = 0.0
     leaving: bool = False
-    cold: float | None = None
+    cold_seconds: float | None = None
 
 
 @dataclass
-class Rests:
+class UpstreamBackoffs:
     """The upstreams that asked this gateway to back off, and until when.
 
     An upstream that rejects all requests has no load, so load balancing would prefer it. The
@@ -34,7 +34,7 @@
 
     _resume_times: dict[str, float] = field(default_factory=dict)
 
-    def note(self, name: str, seconds: float, now: float) -> bool:
+    def record(self, name: str, seconds: float, now: float) -> bool:
         """Record a backoff; return whether the upstream's backoff ends later by that.
 
         :param name: the upstream's own name.
@@ -49,14 +49,14 @@
         self._resume_times[name] = now + seconds
         return True
 
-    def count(self, now: float) -> int:
+    def count_active(self, now: float) -> int:
         """Return how many upstreams must get nothing now.
 
         :param now: the time.
         """
         return sum(until > now for until in self._resume_times.values())
 
-    def is_resting(self, name: str, now: float) -> bool:
+    def is_backing_off(self, name: str, now: float) -> bool:
         """Return whether an upstream must get nothing now.
 
         :param name: the upstream's own name.
--- a/src/daleroad/bench.py
+++ b/src/daleroad/bench.py
@@ -15,20 +15,20 @@
 from hdrh.histogram import HdrHistogram
 
 from daleroad.admission import (
-    Admission,
-    FixedLimit,
-    Granted,
-    Load,
-    MeanLength,
-    PeakMemory,
+    AdmissionController,
+    Admitted,
+    FixedLimitPolicy,
+    MeanLengthPolicy,
+    PeakMemoryPolicy,
     Policy,
     Refused,
-    Unlimited,
+    UnlimitedPolicy,
+    UpstreamReport,
 )
-from daleroad.batching import Batch, EngineShape, Sequence
-from daleroad.lengths import Lengths
+from daleroad.enginemodel import EngineModel, EngineParameters, Sequence
+from daleroad.lengths import OutputLengths
 from daleroad.messages import Work
-from daleroad.placement import rank_candidates
+from daleroad.ranking import rank_upstreams
 from daleroad.records import Upstream
 from daleroad.workload import LENGTH_MOST, PARTNERS, Arrival, generate_arrivals
 
@@ -65,7 +65,7 @@
     seconds: float = 120.0
     engines: int = 4
     seed: int = 1
-    shape: EngineShape = EngineShape(capacity=12_000, slots=32)
+    shape: EngineParameters = EngineParameters(capacity=12_000, slots=32)
     floods: tuple[tuple[str, float], ...] = ()
     warm_up: float = 0.25
 
@@ -142,13 +142,13 @@
     """
     match name:
         case PolicyName.ROUND_ROBIN:
-            return Unlimited()
+            return UnlimitedPolicy()
         case PolicyName.LEAST_CONNECTIONS:
-            return FixedLimit(24)
+            return FixedLimitPolicy(24)
         case PolicyName.MEAN_LENGTH:
-            return MeanLength()
+            return MeanLengthPolicy()
         case PolicyName.OURS:
-            return PeakMemory()
+            return PeakMemoryPolicy()
 
 
 class Run:
@@ -161,13 +161,13 @@
         self.options = options
         self.plain = options.policy is not PolicyName.OURS
         self.random = Random(options.seed)
-        lengths = Lengths()
+        lengths = OutputLengths()
         policy = make_policy(options.policy)
         shape = options.shape
         reserve = 0.0 if self.plain else 0.1
-        self.batches = [Batch(shape) for _ in range(options.engines)]
+        self.batches = [EngineModel(shape) for _ in range(options.engines)]
         self.admissions = [
-            Admission(shape.capacity, shape.slots, lengths, policy, 100_000, reserve)
+            AdmissionController(shape.capacity, shape.slots, lengths, policy, 100_000, reserve)
             for _ in range(options.engines)
         ]
         if not self.plain:
@@ -179,7 +179,7 @@
         self.now = 0.0
         self.result = RunResult(options, options.seconds * (1 - options.warm_up))
         self._requests: dict[str, _Request] = {}
-        self._reports: list[list[Load]] = [[] for _ in range(options.engines)]
+        self._reports: list[list[UpstreamReport]] = [[] for _ in range(options.engines)]
         self._stepping = [False] * options.engines
         self._turn = 0
         self._agenda: list[tuple[float, int, Happening]] = []
@@ -235,7 +235,7 @@
             engine = self._pick_plainly()
             self._ask(arrival, engine, may_wait=True)
             return
-        ranked = rank_candidates(
+        ranked = rank_upstreams(
             self.upstreams,
             f"{arrival.kind.route}{arrival.organisation}",
             lambda name: self.admissions[int(name)].get_load(),
@@ -255,7 +255,7 @@
         if self.options.policy is PolicyName.ROUND_ROBIN:
             return self._turn % self.options.engines
         loads = [
-            (len(a) + a.count_waiting(), (i + self._turn) % self.options.engines, i)
+            (len(a) + a.count_queued(), (i + self._turn) % self.options.engines, i)
             for i, a in enumerate(self.admissions)
         ]
         return min(loads)[2]
@@ -265,7 +265,7 @@
         work = self._make_work(arrival)
         decision = self.admissions[engine].ask(work, self.now, 1.0, may_wait)
         match decision:
-            case Granted():
+            case Admitted():
                 self._dispatch(arrival, engine)
             case Refused(_, failure) if may_wait:
                 self._refuse(arrival, failure.kind.value)
@@ -323,10 +323,10 @@
         self._start_step(engine)
 
     def _advance(self, engine: int) -> None:
-        for decision in self.admissions[engine].advance(self.now):
+        for decision in self.admissions[engine].process_queues(self.now):
             request = self._requests[decision.work.generation]
             match decision:
-                case Granted():
+                case Admitted():
                     self._dispatch(request.arrival, engine)
                 case Refused(_, failure):
                     self._refuse(request.arrival, failure.kind.value)
@@ -336,7 +336,7 @@
         batch = self.batches[engine]
         produced = {s.generation: s.produced for s in [*batch.running, *batch.waiting]}
         reports = self._reports[engine]
-        reports.append(Load(batch.used, batch.preemptions, produced))
+        reports.append(UpstreamReport(batch.used, batch.preemptions, produced))
         self.admissions[engine].report(reports[max(0, len(reports) - 2)], self.now)
         del reports[:-2]
 
@@ -354,7 +354,7 @@
         if counted:
             self.result.preemptions += len(step.preempted)
         self._note_tokens(step.produced, done_at, counted)
-        for sequence in step.ended:
+        for sequence in step.finished:
             self._end(sequence, engine, done_at)
 
     def _note_tokens(self, produced: tuple[Sequence, ...], at: float, counted: bool) -> None:
--- a/src/daleroad/candidates.py
+++ b/src/daleroad/candidates.py
@@ -10,12 +10,12 @@
 from daleroad.defaults import LATE_HEARTBEATS, OVERDUE_HEARTBEATS
 from daleroad.fleet import Fleet
 from daleroad.notices import Load
-from daleroad.picking import Candidate, estimate_load
 from daleroad.routing import ServiceRule
+from daleroad.scoring import Candidate, estimate_load
 
 
 @dataclass(frozen=True)
-class Judge:
+class CandidateEvaluator:
     """Evaluates a service's upstreams as candidates for a request.
 
     :param fleet: the upstreams that are alive.
@@ -52,10 +52,10 @@
             yield Candidate(
                 instance,
                 estimate_load(expected, instance.slots, memory),
-                doubtful=self.is_failing(instance.id) or missed_heartbeats > LATE_HEARTBEATS,
+                unhealthy=self.is_failing(instance.id) or missed_heartbeats > LATE_HEARTBEATS,
                 cold=self.fleet.is_cold(instance.id, now),
                 sole_in_zone=bool(memory) and zone_sizes[instance.zone] == 1,
                 overdue=missed_heartbeats > OVERDUE_HEARTBEATS,
-                crowded=bool(memory) and expected.tokens > memory,
-                limited=self.fleet.get_rate_limit(instance.id) is not None,
+                lacks_memory=bool(memory) and expected.tokens > memory,
+                rate_limited=self.fleet.get_rate_limit(instance.id) is not None,
             )
--- a/src/daleroad/cli.py
+++ b/src/daleroad/cli.py
@@ -16,7 +16,6 @@
 from fire.core import FireExit
 from fire.decorators import SetParseFn
 
-from daleroad.batching import EngineShape
 from daleroad.bench import run_matrix
 from daleroad.caller import Caller, Token, Whole
 from daleroad.clock import run_on_clock
@@ -26,17 +25,18 @@
 from daleroad.demo import run_demo
 from daleroad.detection import compare_detectors
 from daleroad.engine import Engine, EngineOptions
+from daleroad.enginemodel import EngineParameters
 from daleroad.errors import DaleroadError, Failure
 from daleroad.evacuationcommands import EvacuationCommands
 from daleroad.events import Event, log_event
 from daleroad.explain import explain, parse_lines
+from daleroad.memorymodel import CASES as ROOM_CASES
+from daleroad.memorymodel import format_cases as format_room_cases
 from daleroad.operating import OperatorClient
-from daleroad.placing import CASES, format_cases
+from daleroad.placementmodel import CASES, format_cases
 from daleroad.plain import PlainOptions, PlainService
 from daleroad.process import move_damaged, run_process, serve
 from daleroad.report import format_rows, make_rows, write_json, write_plot
-from daleroad.roommodel import CASES as ROOM_CASES
-from daleroad.roommodel import format_cases as format_room_cases
 from daleroad.security import hash_token
 from daleroad.settings import load_settings, parse_settings
 from daleroad.suspectcommands import SuspectCommands
@@ -86,7 +86,7 @@
             tuple(_split(entries)),
             token,
             tuple(_split(models)),
-            EngineShape(capacity=capacity, slots=slots),
+            EngineParameters(capacity=capacity, slots=slots),
             checks_fencing,
             speed,
             advertise=advertise,
--- a/src/daleroad/coldmodel.py
+++ b/src/daleroad/coldmodel.py
@@ -1,7 +1,7 @@
 """Simulates requests of many gateways to cold upstreams, in virtual time.
 
 Compares ways to enforce a limit on each cold upstream: none, a share of the limit for each gateway,
-and grants of one process (``sendlimits``). Reports the most requests that any upstream got in a
+and grants of one process (``grantlimits``). Reports the most requests that any upstream got in a
 second, relative to the limit, and the share of requests that no upstream could take.
 """
 
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from random import Random
 
-from daleroad.sendlimits import ColdRule, SendLimits
+from daleroad.grantlimits import ColdRule, GrantLimiter
 
 RULE = ColdRule(1.5, 5.0)
 """The rule of a deployment that limits cold upstreams."""
@@ -85,13 +85,13 @@
     """Lets one process count the requests to each engine and grant them."""
 
     def __init__(self) -> None:
-        self._limits = SendLimits(RULE)
-        self._limits.begin(1, _LEADER_STARTED_AT)
+        self._limits = GrantLimiter(RULE)
+        self._limits.start_term(1, _LEADER_STARTED_AT)
 
     def try_acquire(self, engine: str, engine_rate: float, now: float) -> bool:
-        if not self._limits.may_get(engine, (RULE.make_bound(engine_rate),), now):
+        if not self._limits.may_grant(engine, (RULE.make_window_limit(engine_rate),), now):
             return False
-        self._limits.grant(engine, now)
+        self._limits.record_grant(engine, now)
         return True
 
 
@@ -126,11 +126,11 @@
         else:
             refused += 1
         now += random.expovariate(rate)
-    peak = max(count_fullest(engine.arrivals, 1.0) for engine in engines)
+    peak = max(count_peak_requests(engine.arrivals, 1.0) for engine in engines)
     return ColdResult(peak / max(1, max_requests), refused / max(1, sent))
 
 
-def count_fullest(arrivals: Iterable[float], seconds: float) -> int:
+def count_peak_requests(arrivals: Iterable[float], seconds: float) -> int:
     """Return the most arrivals within any window.
 
     :param arrivals: their times.
--- a/src/daleroad/coordinator.py
+++ b/src/daleroad/coordinator.py
@@ -33,6 +33,7 @@
 from daleroad.evacuations import ZoneOrder
 from daleroad.events import Event, log_event
 from daleroad.fleetfile import FleetKeeper
+from daleroad.grantlimits import ColdRule, GrantLimiter
 from daleroad.group import Group, decode_messages
 from daleroad.logtypes import Member
 from daleroad.notices import (
@@ -56,12 +57,11 @@
 from daleroad.presence import Presence
 from daleroad.routing import ServiceRule
 from daleroad.security import check_peer
-from daleroad.sendlimits import ColdRule, SendLimits
 from daleroad.serving import Answer, Request, Response, Router
 from daleroad.sitelog import Parse, SiteLog
 from daleroad.siterecord import SiteRecord
 from daleroad.storage import Storage
-from daleroad.suspectfile import SuspectKeeper
+from daleroad.suspectfile import SuspectFile
 from daleroad.voters import SILENT_SECONDS, plan_voters
 
 GROUP_NAME = "site"
@@ -112,7 +112,7 @@
         self._services: dict[str, ServiceRule] = {}
         self.peers = Peers(options.name, set(options.seeds))
         self.presence = Presence(options.name, links, self.peers, self._list_others, self._wake)
-        self._limits = SendLimits(options.cold)
+        self._limits = GrantLimiter(options.cold)
         self._placer = Placer(
             self.presence.fleet, self.presence.loads, options.heartbeat, random, self._limits
         )
@@ -123,7 +123,7 @@
         self._fleet_keeper = (
             FleetKeeper(data_dir, self.presence.fleet, options.heartbeat) if data_dir else None
         )
-        self._suspect_keeper = SuspectKeeper(data_dir, self.presence.suspects) if data_dir else None
+        self._suspect_keeper = SuspectFile(data_dir, self.presence.suspects) if data_dir else None
         self._storage = Storage(path)
         self.group = Group(
             GROUP_NAME, options.name, {}, self._storage, self.record, links, random, make_url
@@ -247,7 +247,7 @@
             self.presence.prune(now)
             self._limits.prune(now)
             if self.group.is_leading():
-                self._limits.begin(self.group.replica.term, now)
+                self._limits.start_term(self.group.replica.term, now)
                 self._update_membership(now)
 
     def _update_membership(self, now: float) -> None:
@@ -352,7 +352,7 @@
             while (
                 message.epoch == self.epoch
                 and message.revision == self.presence.fleet.revision
-                and message.suspects == self.presence.suspects.marked_revision
+                and message.suspects == self.presence.suspects.flagged_revision
                 and not self._lacks_operator_change(message)
             ):
                 await self._changed.wait()
@@ -391,8 +391,8 @@
             self.presence.count_gateways(now),
             self.presence.count_other_gateways(message.gateway.address),
             update.patch,
-            suspects.list_changed(now, message.suspects if same_epoch else 0, marked=True),
-            suspects.marked_revision,
+            suspects.list_changed(now, message.suspects if same_epoch else 0, flagged_only=True),
+            suspects.flagged_revision,
             now - arrived_at,
             self.record.zones if message.zones < self.record.zones.version else None,
         )
@@ -401,7 +401,7 @@
         message = self._decode_request(request, LoadsRequest)
         if isinstance(message, Failure):
             return message
-        self.presence.loads.note(message.gateway, message.loads, anyio.current_time())
+        self.presence.loads.set_report(message.gateway, message.loads, anyio.current_time())
         return Response(204)
 
     async def _serve_place(self, request: Request) -> Answer:
@@ -416,7 +416,7 @@
         service = self._services.get(message.service)
         if service is None:
             return Failure(FailureKind.NOT_FOUND, f"no service {message.service}")
-        self._limits.begin(self.group.replica.term, now)
+        self._limits.start_term(self.group.replica.term, now)
         with self.presence.wake_on_fleet_change():
             answer = self._placer.place(message, service, now, self.record.zones.zones)
         return Response(200, encode(answer))
@@ -486,7 +486,7 @@
             return message
         if not self._ready or not self.group.is_leading():
             return Failure(FailureKind.NOT_LEADER, "only the leading coordinator gives trials")
-        granted = self.presence.shared.give_trial(message.fingerprint)
+        granted = self.presence.shared.grant_trial(message.fingerprint)
         return Response(200, encode(TrialAnswer(granted)))
 
     def _handle_zone_change(self) -> None:
--- a/src/daleroad/defaults.py
+++ b/src/daleroad/defaults.py
@@ -39,7 +39,7 @@
 UPSTREAM_LEASE_SECONDS = 3.0
 """An upstream without a report for so long is taken as gone."""
 
-STILL_THERE_SECONDS = 1.5
+LEASE_REMOVAL_DELAY_SECONDS = 1.5
 """Time beyond that lease after which an upstream that ended is no member any more: the steward's
 turn, and a change of the membership on a majority of disks."""
 
@@ -131,19 +131,19 @@
 URGENT_RESERVE = 0.1
 """Share of an engine's memory and slots kept for urgent routes."""
 
-QUEUE_MOST = 512
+MAX_QUEUED_REQUESTS = 512
 """Requests that wait at one upstream."""
 
-AGEING_SECONDS = 20.0
+STARVATION_SECONDS = 20.0
 """Long work that waited for so long goes before younger urgent work once in a while."""
 
-LENGTH_WINDOW = 512
+LENGTH_WINDOW_SIZE = 512
 """Output lengths remembered for each route and model version."""
 
-LENGTH_UNKNOWN = 256
+DEFAULT_OUTPUT_TOKENS = 256
 """Output length assumed with no history, in tokens."""
 
-PERMIT_SECONDS = 10.0
+PERMIT_TIMEOUT_SECONDS = 10.0
 """A permit not seen running by the upstream's reports for so long is dropped."""
 
 EJECT_SHARE = 0.34
@@ -240,22 +240,22 @@
 """The same at the other coordinators, whose news the gateway mostly has; below a second's part of
 what a leaving upstream is given."""
 
-PLACE_SECONDS = 0.08
+PLACER_TIMEOUT_SECONDS = 0.08
 """How long a gateway waits for the engine that the leading coordinator names: several round trips
 between availability zones, and a twentieth of the objective for a first output."""
 
-PLACE_PAUSE_SECONDS = 0.5
+PLACER_RETRY_SECONDS = 0.5
 """How long a gateway chooses engines alone after that failed; about one election."""
 
-CROWDED_OBJECTIVES = 0.45
+MAX_MEMORY_WAIT_OBJECTIVES = 0.45
 """Part of its objective that a long generation waits for room in an engine; what is left is twice
 what reading its prompt takes (0.4 s of 1.8 s)."""
 
-CROWDED_PAUSE_SECONDS = 0.06
+MEMORY_WAIT_PAUSE_SECONDS = 0.06
 """Pause before a generation that waits for room asks again; runs end every 0.03 s on a site with a
 hundred of them."""
 
-TELL_LOADS_SECONDS = 0.01
+LOAD_BATCH_SECONDS = 0.01
 """How long a gateway gathers changes of its work before it tells the leading coordinator; far below
 the time between two prompts of one gateway, which is a second on a small site."""
 
@@ -356,9 +356,9 @@
 TOKEN_SECONDS = 0.008
 """Time of one token on a half-full engine, to guess how long a generation goes on."""
 
-BACKUP_ROOM = 0.0
+MAX_BACKUP_LOAD = 0.0
 """How full an engine may get by a backup; the rest is for work that comes. 0 switches backups off:
 at 0.7 their memory crowded out work, and a calm day's worth fell from 0.77 to 0.63."""
 
-BACKUP_WORTH_SECONDS = 2.0
+MIN_BACKUP_SECONDS = 2.0
 """A generation that should be over sooner gets no backup; its copy alone takes a part of that."""
--- a/src/daleroad/guarding.py
+++ b/src/daleroad/dispatchguard.py
@@ -17,7 +17,7 @@
 
 import anyio
 
-from daleroad.backpressure import Rests
+from daleroad.backpressure import UpstreamBackoffs
 from daleroad.dispatch import (
     Attempt,
     Copied,
@@ -37,10 +37,10 @@
 from daleroad.errors import Failure
 from daleroad.evacuations import EvacuatedZones
 from daleroad.events import Event, log_event
-from daleroad.fingerprints import find_fingerprint
+from daleroad.fingerprints import fingerprint_job
 from daleroad.fleet import Fleet
+from daleroad.grantlimits import Grants
 from daleroad.instances import Instance, InstanceState
-from daleroad.sendlimits import Grants
 from daleroad.suspects import Standing, Suspects, Suspicion
 
 GrantRequester = Callable[[Attempt], Awaitable[bool]]
@@ -57,27 +57,27 @@
     :param fleet: the known upstreams.
     :param tell: called with the reports on suspected requests that other processes need.
     :param zones: the evacuated availability zones.
-    :param rests: the upstreams that asked this gateway to back off.
-    :param limited: services whose upstreams are rate-limited while they are cold.
+    :param backoffs: the upstreams that asked this gateway to back off.
+    :param cold_limited_services: services whose upstreams are rate-limited while they are cold.
     :param grants: the unused grants for rate-limited upstreams.
-    :param ask_grant: requests a grant for an attempt that has none; if None, none is given.
+    :param request_grant_callback: requests a grant for an attempt that has none; if None, none is given.
     """
 
     suspects: Suspects
     fleet: Fleet
     tell: Callable[[Suspicion], None]
     zones: EvacuatedZones = EvacuatedZones()
-    rests: Rests = field(default_factory=Rests)
-    limited: frozenset[str] = frozenset()
+    backoffs: UpstreamBackoffs = field(default_factory=UpstreamBackoffs)
+    cold_limited_services: frozenset[str] = frozenset()
     grants: Grants = field(default_factory=Grants)
-    ask_grant: GrantRequester | None = None
+    request_grant_callback: GrantRequester | None = None
 
-    def is_resting(self, instance: Instance) -> bool:
+    def is_backing_off(self, instance: Instance) -> bool:
         """Return whether an upstream asked this gateway to back off.
 
         :param instance: the upstream.
         """
-        return self.rests.is_resting(instance.get_name(), anyio.current_time())
+        return self.backoffs.is_backing_off(instance.get_name(), anyio.current_time())
 
     def is_evacuated(self, instance: Instance) -> bool:
         """Return whether an upstream is in an availability zone that an operator evacuated.
@@ -86,12 +86,12 @@
         """
         return instance.zone in self.zones.zones
 
-    def is_limited(self, instance: Instance) -> bool:
+    def needs_grant(self, instance: Instance) -> bool:
         """Return whether sends to an upstream need a grant.
 
         :param instance: the upstream.
         """
-        return self.advertises_rate_limit(instance) or self.is_fragile(instance)
+        return self.advertises_rate_limit(instance) or self.is_cold_limited(instance)
 
     def advertises_rate_limit(self, instance: Instance) -> bool:
         """Return whether an upstream advertises a limit on its requests per second.
@@ -100,13 +100,13 @@
         """
         return self.fleet.get_rate_limit(instance.id) is not None
 
-    def is_fragile(self, instance: Instance) -> bool:
+    def is_cold_limited(self, instance: Instance) -> bool:
         """Return whether an upstream is cold and its service limits the rate to cold upstreams.
 
         :param instance: the upstream.
         """
         cold = self.fleet.is_cold(instance.id, anyio.current_time())
-        return cold and instance.service in self.limited
+        return cold and instance.service in self.cold_limited_services
 
     def find_refusal_reason(self, attempt: Attempt) -> str:
         """Return why an attempt must not be sent to its upstream, or an empty string.
@@ -116,16 +116,16 @@
         instance = attempt.instance
         if self.get_standing(attempt.job, attempt.organisation) is Standing.HELD:
             return "the request is held because upstreams crashed while running it"
-        return self.find_closed(instance) or self._find_leaving_reason(attempt)
+        return self.find_unavailable_reason(instance) or self._find_leaving_reason(attempt)
 
-    def find_closed(self, instance: Instance) -> str:
+    def find_unavailable_reason(self, instance: Instance) -> str:
         """Return why this gateway sends no requests or copies to an upstream, or an empty string.
 
         :param instance: the upstream.
         """
         if self.is_evacuated(instance):
             return "the upstream's availability zone is evacuated"
-        if self.is_resting(instance):
+        if self.is_backing_off(instance):
             return "the upstream asked this gateway to back off"
         return ""
 
@@ -144,8 +144,8 @@
         :param attempt: the attempt.
         """
         instance = attempt.instance
-        had_grant = self.grants.take(instance.id, anyio.current_time())
-        return had_grant or not self.is_limited(instance)
+        had_grant = self.grants.consume(instance.id, anyio.current_time())
+        return had_grant or not self.needs_grant(instance)
 
     async def request_grant(self, attempt: Attempt) -> bool:
         """Request a grant for an attempt that has none; return whether it was given.
@@ -156,7 +156,9 @@
 
         :param attempt: the attempt.
         """
-        return self.ask_grant is not None and await self.ask_grant(attempt)
+        return self.request_grant_callback is not None and await self.request_grant_callback(
+            attempt
+        )
 
     def get_standing(self, job: Job, organisation: str) -> Standing:
         """Return whether and how a request may run.
@@ -167,10 +169,10 @@
         if self.suspects.is_empty():
             # Skips hashing the request in the common case.
             return Standing.CLEAR
-        fingerprint = find_fingerprint(job, organisation)
+        fingerprint = fingerprint_job(job, organisation)
         return self.suspects.get_standing(fingerprint, anyio.current_time())
 
-    def note_lost(self, attempt: Attempt) -> None:
+    def record_lost(self, attempt: Attempt) -> None:
         """Record that an upstream was lost while it may have been running a request.
 
         :param attempt: the attempt.
@@ -182,7 +184,7 @@
             # is marked as gone when a newer start is heard of, even if it announced nothing.
             return
         now = anyio.current_time()
-        fingerprint = find_fingerprint(attempt.job, attempt.organisation)
+        fingerprint = fingerprint_job(attempt.job, attempt.organisation)
         host_and_path = f"{attempt.job.host}{attempt.job.path}"
         report = self.suspects.record_crash(
             fingerprint, attempt.organisation, host_and_path, attempt.instance.id, now
@@ -191,7 +193,7 @@
             return
         standing = self.suspects.get_standing(fingerprint, now)
         if standing is not Standing.CLEAR:
-            log_suspicion(self.suspects.get(fingerprint, now), standing)
+            log_suspect(self.suspects.get(fingerprint, now), standing)
         self.tell(report)
 
     def record_success(self, attempt: Attempt) -> None:
@@ -199,13 +201,13 @@
 
         :param attempt: the attempt.
         """
-        fingerprint = find_fingerprint(attempt.job, attempt.organisation)
+        fingerprint = fingerprint_job(attempt.job, attempt.organisation)
         report = self.suspects.record_success(fingerprint, anyio.current_time())
         if report is not None:
             self.tell(report)
 
 
-def log_suspicion(known: Suspicion | None, standing: Standing) -> None:
+def log_suspect(known: Suspicion | None, standing: Standing) -> None:
     """Log the crashes recorded for a request; ``ended`` has the ids of the instances.
 
     :param known: the report on it; if None, nothing is logged.
@@ -244,7 +246,7 @@
         begun = False
         async for piece in self._stream.pieces():
             if isinstance(piece, Lost):
-                self._guard.note_lost(self._attempt)
+                self._guard.record_lost(self._attempt)
                 yield piece
                 return
             begun = True
@@ -279,14 +281,14 @@
             reason = self._guard.find_refusal_reason(attempt) if granted else _NOT_GRANTED
         if reason:
             return NotRun(reason, sent=False, held=True)
-        if attempt.backup is not None and self._guard.find_closed(attempt.backup):
+        if attempt.backup is not None and self._guard.find_unavailable_reason(attempt.backup):
             attempt = replace(attempt, backup=None)
         reply = await self._inner.send(attempt)
         match reply:
             case NotRun():
                 pass
             case Lost():
-                self._guard.note_lost(attempt)
+                self._guard.record_lost(attempt)
             case Whole():
                 if not reply.is_failed():
                     self._guard.record_success(attempt)
@@ -298,7 +300,7 @@
         self, job: Job, source: Instance, destination: Instance, final: bool
     ) -> Copied | NotCopied:
         """Copy a running generation's memory; a final copy stops the generation first."""
-        closed = self._guard.find_closed(destination)
+        closed = self._guard.find_unavailable_reason(destination)
         if closed:
             # This fault is also that of a destination that can't be reached.
             return NotCopied(f"cannot copy to the destination: {closed}", CopyFault.NO_ROOM)
--- a/src/daleroad/engine.py
+++ b/src/daleroad/engine.py
@@ -16,10 +16,10 @@
 import orjson
 from xxhash import xxh3_64_intdigest
 
-from daleroad.batching import Batch, EngineShape, Step
-from daleroad.batching import Sequence as BatchSequence
 from daleroad.codec import decode, encode
 from daleroad.daleroad_pb import Announcement, Report, RunningWork
+from daleroad.enginemodel import EngineModel, EngineParameters, Step
+from daleroad.enginemodel import Sequence as BatchSequence
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.messages import EngineCompletion, EngineOrder, EngineState, Forbidden
 from daleroad.serving import Answer, Request, Response, Router, Stream, serve_app
@@ -87,7 +87,7 @@
     entries: tuple[str, ...]
     token: str
     models: tuple[str, ...]
-    shape: EngineShape = EngineShape()
+    shape: EngineParameters = EngineParameters()
     checks_fencing: bool = True
     speed: float = 1.0
     lag_reports: int = 1
@@ -104,7 +104,7 @@
 
     def __init__(self, options: EngineOptions) -> None:
         self.options = options
-        self.batch = Batch(options.shape)
+        self.batch = EngineModel(options.shape)
         self.models = list(options.models)
         self.fencing = 0
         self.faults = EngineFaults()
@@ -278,7 +278,7 @@
             if generation is None or generation.state is not GenerationState.RUNNING:
                 continue
             generation.tokens.append(make_token(sequence.generation, sequence.produced - 1))
-            if sequence in step.ended:
+            if sequence in step.finished:
                 generation.state = GenerationState.DONE
             _wake(generation)
             if 0 <= self.faults.die <= len(generation.tokens):
@@ -296,7 +296,7 @@
             generation.state = GenerationState.CANCELLED
             _wake(generation)
         self._generations.clear()
-        self.batch = Batch(self.options.shape)
+        self.batch = EngineModel(self.options.shape)
 
     async def _sweep_loop(self) -> None:
         """Cancel generations that nobody has read for a while."""
--- a/src/daleroad/batching.py
+++ b/src/daleroad/enginemodel.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class EngineShape:
+class EngineParameters:
     """An engine's limits and the cost of its steps.
 
     :param capacity: memory in tokens.
@@ -58,26 +58,26 @@
 
     :param seconds: its duration.
     :param produced: the sequences that produced a token.
-    :param ended: those of them that produced their last token.
+    :param finished: those of them that produced their last token.
     :param preempted: the sequences that were preempted before it.
     :param cached: the prefixes that were added to the prefix cache.
     """
 
     seconds: float
     produced: tuple[Sequence, ...] = ()
-    ended: tuple[Sequence, ...] = ()
+    finished: tuple[Sequence, ...] = ()
     preempted: tuple[Sequence, ...] = ()
     cached: tuple[str, ...] = ()
 
 
 @dataclass
-class Batch:
+class EngineModel:
     """The state of one engine.
 
     :param used: memory of the running sequences in tokens.
     """
 
-    shape: EngineShape
+    shape: EngineParameters
     waiting: list[Sequence] = field(default_factory=list)
     running: list[Sequence] = field(default_factory=list)
     preemptions: int = 0
--- a/src/daleroad/entry.py
+++ b/src/daleroad/entry.py
@@ -13,7 +13,7 @@
 from connectrpc.request import RequestContext
 from prometheus_client import generate_latest
 
-from daleroad.admission import Load
+from daleroad.admission import UpstreamReport
 from daleroad.codec import decode, encode
 from daleroad.daleroad_connect import LocatorASGIApplication, RegistryASGIApplication
 from daleroad.daleroad_pb import (
@@ -29,8 +29,6 @@
 from daleroad.errors import Failure, FailureKind
 from daleroad.events import Event, log_event
 from daleroad.generations import Generations
-from daleroad.holding import Holding
-from daleroad.limiting import Limits
 from daleroad.links import Links
 from daleroad.location import pick_addresses
 from daleroad.messages import (
@@ -43,7 +41,9 @@
     SlotRequest,
     Suspicions,
 )
+from daleroad.organisationlimits import OrganisationLimits
 from daleroad.records import State, Upstream
+from daleroad.requestholds import RequestHolds
 from daleroad.security import check_peer, get_bearer, hash_token, is_token
 from daleroad.services import PlainCalls
 from daleroad.serving import Answer, Request, Response, Router, Stream, serve_app
@@ -70,9 +70,9 @@
         links = Links(settings.tls, settings.cluster_secret)
         self.env = Environment(settings, links, random)
         self.stewardship = Stewardship(self.env)
-        self.limits = Limits(self.env)
+        self.limits = OrganisationLimits(self.env)
         self.env.follower.on_change = self._refresh
-        self.holding = Holding(self.env)
+        self.holding = RequestHolds(self.env)
         self._generations = Generations(self.env, self.stewardship, self.limits, self.holding)
         self._plain = PlainCalls(self.env, self.holding)
         self._requests = 0
@@ -125,7 +125,7 @@
 
     def _refresh(self) -> None:
         self.stewardship.refresh()
-        self.limits.refresh()
+        self.limits.note_catalog_change()
 
     def _make_router(self) -> Router:
         router = Router(self.env.settings.body_bytes)
@@ -226,14 +226,14 @@
         if isinstance(asked, Failure):
             return asked
         now = anyio.current_time()
-        refused = self.limits.quota.take(asked.organisation, asked.request, asked.most, now)
+        refused = self.limits.quota.acquire(asked.organisation, asked.request, asked.most, now)
         return refused or Response(204)
 
     async def _serve_slot_hold(self, request: Request) -> Answer:
         hold = self._parse_peer(request, SlotHold)
         if isinstance(hold, Failure):
             return hold
-        self.limits.quota.hold(hold.organisation, hold.requests, anyio.current_time())
+        self.limits.quota.renew(hold.organisation, hold.requests, anyio.current_time())
         return Response(204)
 
     async def _serve_slot_end(self, request: Request) -> Answer:
@@ -247,7 +247,7 @@
         suspicions = self._parse_peer(request, Suspicions)
         if isinstance(suspicions, Failure):
             return suspicions
-        self.holding.take(suspicions)
+        self.holding.merge_reports(suspicions)
         return Response(204)
 
     async def _serve_metrics(self, request: Request) -> Answer:
@@ -323,7 +323,7 @@
         """Process an upstream's periodic load report."""
         self._authenticate(ctx)
         produced = {work.generation: work.produced for work in request.running}
-        load = Load(request.used, request.preemptions, produced)
+        load = UpstreamReport(request.used, request.preemptions, produced)
         is_known = self._entry.stewardship.tell(
             request.upstream, load, request.draining, request.left, list(request.models)
         )
--- a/src/daleroad/environment.py
+++ b/src/daleroad/environment.py
@@ -12,7 +12,7 @@
 from daleroad.directory import Directory
 from daleroad.follower import Follower
 from daleroad.health import Ejector
-from daleroad.lengths import Lengths
+from daleroad.lengths import OutputLengths
 from daleroad.links import Links
 from daleroad.messages import Work
 from daleroad.retries import RetryBudget
@@ -71,7 +71,7 @@
     links: Links
     random: Random
     catalog: Catalog = field(default_factory=Catalog)
-    lengths: Lengths = field(default_factory=Lengths)
+    lengths: OutputLengths = field(default_factory=OutputLengths)
     budget: RetryBudget = field(default_factory=RetryBudget)
     ejector: Ejector = field(default_factory=Ejector)
     suspects: Suspects = field(default_factory=Suspects)
--- a/src/daleroad/fingerprints.py
+++ b/src/daleroad/fingerprints.py
@@ -15,7 +15,7 @@
 _LENGTH_PREFIX_BYTES = 8
 
 
-def find_fingerprint(job: Job, organisation: str) -> str:
+def fingerprint_job(job: Job, organisation: str) -> str:
     """Return the fingerprint of a gateway's request.
 
     :param job: the request.
--- a/src/daleroad/finishing.py
+++ b/src/daleroad/finishing.py
@@ -1,13 +1,13 @@
 """Calculates the latest start at which a generation finishes before its entry shuts down."""
 
 from daleroad.defaults import DRAIN_TOKEN_SECONDS, STOP_BEGIN_SECONDS
-from daleroad.lengths import Lengths
+from daleroad.lengths import OutputLengths
 
 _LENGTH_QUANTILE = 0.95
 """Quantile of recent output lengths taken as the expected maximum."""
 
 
-def expect_tokens(lengths: Lengths, route: str, model: str, max_tokens: int) -> float:
+def expect_tokens(lengths: OutputLengths, route: str, model: str, max_tokens: int) -> float:
     """Return the expected maximum output length in tokens.
 
     This is the request's own limit where too few outputs were recorded.
--- a/src/daleroad/fleet.py
+++ b/src/daleroad/fleet.py
@@ -46,7 +46,7 @@
     def make_report(self, now: float) -> Sighting:
         """Return the report on the instance for other processes."""
         cold = max(0.0, self.cold_until - now)
-        return Sighting(self.instance, now - self.heartbeat_at, cold, self.limit.tell(now))
+        return Sighting(self.instance, now - self.heartbeat_at, cold, self.limit.make_report(now))
 
 
 @dataclass
@@ -182,7 +182,7 @@
         :param now: the current time.
         """
         known = self._known.get(instance_id)
-        if known is None or not known.limit.note(limit, now):
+        if known is None or not known.limit.apply_report(limit, now):
             return False
         self._mark_changed(known)
         return True
@@ -208,14 +208,14 @@
         alive = (k for k in self._known.values() if k.instance.state is not InstanceState.GONE)
         return sum(known.limit.rate is not None for known in alive)
 
-    def tell_limit(self, instance_id: str, now: float) -> RateLimit | None:
+    def make_limit_report(self, instance_id: str, now: float) -> RateLimit | None:
         """Return the newest report on an instance's rate limit, or None if it never had one.
 
         :param instance_id: its id.
         :param now: the current time.
         """
         known = self._known.get(instance_id)
-        return known.limit.tell(now) if known is not None else None
+        return known.limit.make_report(now) if known is not None else None
 
     def note_cold_zone(self, zone: str, seconds: float, now: float) -> None:
         """Record that all instances of an availability zone are cold, until they report otherwise.
--- a/src/daleroad/fleetfile.py
+++ b/src/daleroad/fleetfile.py
@@ -20,7 +20,7 @@
 
 RECOVERED_HEARTBEATS = 1.75
 """Age in heartbeat intervals that is assumed for the instances read from disk. They are overdue, so
-that instances with a fresh heartbeat get more requests, but do not become doubtful for most of an
+that instances with a fresh heartbeat get more requests, but do not become unhealthy for most of an
 interval; otherwise the first few instances heard would get all requests."""
 
 
--- a/src/daleroad/forwarding.py
+++ b/src/daleroad/forwarding.py
@@ -12,13 +12,12 @@
 
 import anyio
 
-from daleroad.choosing import Crowded
 from daleroad.defaults import (
-    CROWDED_OBJECTIVES,
-    CROWDED_PAUSE_SECONDS,
     ENGINE_RETRY_AFTER_SECONDS,
     EVACUATED_RETRY_SECONDS,
     LAST_ANSWER_SECONDS,
+    MAX_MEMORY_WAIT_OBJECTIVES,
+    MEMORY_WAIT_PAUSE_SECONDS,
     NO_CONFIG_RETRY_SECONDS,
     PLAIN_RETRY_AFTER_SECONDS,
     SPARE_SECONDS,
@@ -38,13 +37,14 @@
 from daleroad.draining import Need, estimate_need, find_return, takes
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
-from daleroad.fingerprints import find_fingerprint
+from daleroad.fingerprints import fingerprint_job
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance
 from daleroad.metrics import RequestMetrics
 from daleroad.routing import Repeat, RouteRule, RoutingTable, ServiceRule
 from daleroad.runs import Run, Runs, Tries
-from daleroad.suspects import TRIAL_SECONDS, Standing
+from daleroad.selection import InsufficientMemory
+from daleroad.suspects import TRIAL_INTERVAL_SECONDS, Standing
 
 
 @dataclass(frozen=True)
@@ -169,8 +169,8 @@
             if standing is Standing.HELD or not await self._may_send(state, standing):
                 return self._make_held_failure(state)
             instance = await self._pick_instance(state, standing)
-            if isinstance(instance, Crowded):
-                await anyio.sleep(CROWDED_PAUSE_SECONDS)
+            if isinstance(instance, InsufficientMemory):
+                await anyio.sleep(MEMORY_WAIT_PAUSE_SECONDS)
                 continue
             if instance is None:
                 return self._make_final_outcome(state, "no upstream is left")
@@ -185,14 +185,16 @@
 
     async def _pick_instance(
         self, state: _RequestState, standing: Standing
-    ) -> Instance | Crowded | None:
+    ) -> Instance | InsufficientMemory | None:
         gateway = self._gateway
         prompt = state.job.prompt
         tokens = count_tokens(prompt)
         if standing is not Standing.CLEAR:
-            return gateway.chooser.pick_quiet(state.service, tokens, state.tried_ids)
+            return gateway.selector.pick_least_busy(state.service, tokens, state.tried_ids)
         can_wait = self._can_wait_for_memory(state, anyio.current_time())
-        return await gateway.chooser.place(state.service, tokens, state.tried_ids, prompt, can_wait)
+        return await gateway.selector.place(
+            state.service, tokens, state.tried_ids, prompt, can_wait
+        )
 
     def _can_wait_for_memory(self, state: _RequestState, now: float) -> bool:
         """Return whether a long generation may wait for free engine memory and still start in time.
@@ -203,27 +205,29 @@
         prompt = state.job.prompt
         if prompt is None or prompt.ends_soon():
             return False
-        return now - state.job.received_at < CROWDED_OBJECTIVES * state.route.objective
+        return now - state.job.received_at < MAX_MEMORY_WAIT_OBJECTIVES * state.route.objective
 
     async def _may_send(self, state: _RequestState, standing: Standing) -> bool:
         """Return whether this gateway may send the request; in a trial only one gateway may."""
         if standing is not Standing.TRIAL:
             return True
-        return await self._gateway.may_try(find_fingerprint(state.job, state.organisation))
+        return await self._gateway.may_try(fingerprint_job(state.job, state.organisation))
 
     def _make_held_failure(self, state: _RequestState) -> Failure:
         """Return the failure for a request that is held, or whose trial was not granted.
 
-        Upstreams ended while running it. Retry-After is the remaining hold time, TRIAL_SECONDS at
+        Upstreams ended while running it. Retry-After is the remaining hold time, TRIAL_INTERVAL_SECONDS at
         least; a request that may have run gets UPSTREAM_LOST without Retry-After.
         """
-        reason = "upstreams ended while they ran this request"
+        reason = "upstreams crashed while running this request"
         if state.possible_runs:
             return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.UNKNOWN)
         now = anyio.current_time()
-        fingerprint = find_fingerprint(state.job, state.organisation)
-        hold_seconds = self._gateway.suspects.get_held_left(fingerprint, now)
-        return Failure(FailureKind.HELD, reason, Ran.NO, round(max(hold_seconds, TRIAL_SECONDS)))
+        fingerprint = fingerprint_job(state.job, state.organisation)
+        hold_seconds = self._gateway.suspects.get_hold_remaining(fingerprint, now)
+        return Failure(
+            FailureKind.HELD, reason, Ran.NO, round(max(hold_seconds, TRIAL_INTERVAL_SECONDS))
+        )
 
     async def _send_attempt(
         self, state: _RequestState, instance: Instance, seconds: float
@@ -232,10 +236,10 @@
         gateway = self._gateway
         state.tried_ids[instance.id] = None
         # An ejected upstream gets one request at a time; unrelated to trials of held requests.
-        gateway.chooser.ejector.take_trial(instance.id, anyio.current_time())
+        gateway.selector.ejector.take_trial(instance.id, anyio.current_time())
         tokens = count_tokens(state.job.prompt)
         rank = state.rank if state.service.engine else None
-        backup = gateway.chooser.pick_backup(instance, tokens, state.job.prompt)
+        backup = gateway.selector.pick_backup(instance, tokens, state.job.prompt)
         attempt = Attempt(
             state.job,
             instance,
@@ -247,9 +251,9 @@
             silence=state.route.find_silence(),
         )
         unread_tokens = state.job.prompt.tokens if state.job.prompt else 0
-        gateway.loads.add(instance, 1, tokens, unread_tokens)
+        gateway.loads.add_load(instance, 1, tokens, unread_tokens)
         if backup is not None:
-            gateway.loads.add(backup, 0, tokens)
+            gateway.loads.add_load(backup, 0, tokens)
         streaming = False
         try:
             start_by = self._find_start_deadline(state)
@@ -264,14 +268,14 @@
             draining = scope.deadline < state.response_deadline
             if draining:
                 return Failure(FailureKind.DRAINING, "this gateway stops", Ran.UNKNOWN)
-            gateway.chooser.note_result(instance, False)
+            gateway.selector.record_result(instance, False)
             return Failure(FailureKind.DEADLINE, f"{instance.id} took too long", Ran.UNKNOWN)
         finally:
-            gateway.loads.add(instance, 0, 0, -unread_tokens)
+            gateway.loads.add_load(instance, 0, 0, -unread_tokens)
             if not streaming:
-                gateway.loads.add(instance, -1, -tokens)
+                gateway.loads.add_load(instance, -1, -tokens)
                 if backup is not None:
-                    gateway.loads.add(backup, 0, -tokens)
+                    gateway.loads.add_load(backup, 0, -tokens)
 
     def _refuse_if_draining(self, state: _RequestState, now: float) -> Failure | None:
         """Return a refusal if a draining gateway should not accept the request, else ``None``.
@@ -283,7 +287,7 @@
         if gateway.serving or state.possible_runs:
             return None
         left = gateway.ends_at - LAST_ANSWER_SECONDS - now
-        retry_after = find_return(left, gateway.others, gateway.chooser.gateways)
+        retry_after = find_return(left, gateway.others, gateway.selector.gateways)
         if takes(state.need, left, state.response_deadline - now, retry_after):
             return None
         reason = "this gateway stops before the response could be complete"
@@ -320,19 +324,19 @@
                 if gone:
                     self._gateway.note_replaced(instance)
                 elif not sent and not held:
-                    self._gateway.chooser.note_unreached(instance)
+                    self._gateway.selector.record_connect_failure(instance)
                 return None
             case Lost(reason):
                 state.possible_runs += 1
-                fingerprint = find_fingerprint(state.job, state.organisation)
+                fingerprint = fingerprint_job(state.job, state.organisation)
                 self._log_failed_attempt(state, instance, "lost", reason, fingerprint)
-                self._gateway.chooser.note_result(instance, False)
+                self._gateway.selector.record_result(instance, False)
                 if state.route.is_repeatable():
                     return None
                 return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.UNKNOWN)
             case Whole(status):
                 state.possible_runs += 1
-                self._gateway.chooser.note_result(instance, not reply.is_failed())
+                self._gateway.selector.record_result(instance, not reply.is_failed())
                 if not reply.is_failed() or not state.route.is_repeatable():
                     return reply
                 self._log_failed_attempt(state, instance, "failed", str(status))
--- a/src/daleroad/gateway.py
+++ b/src/daleroad/gateway.py
@@ -13,21 +13,21 @@
 from anyio.abc import TaskGroup
 
 from daleroad.backpressure import Backpressure
-from daleroad.choosing import Chooser, GatewayOptions
 from daleroad.defaults import LAST_ANSWER_SECONDS
 from daleroad.dispatch import Dispatcher
+from daleroad.dispatchguard import Guard, GuardedDispatcher
 from daleroad.evacuations import EvacuatedZones
 from daleroad.events import Event, log_event
 from daleroad.fleet import GONE_KEPT_SECONDS, Fleet
-from daleroad.guarding import Guard, GuardedDispatcher
+from daleroad.grantclient import list_upstream_notices
 from daleroad.instances import Instance, InstanceState
-from daleroad.limitedsends import list_notices
 from daleroad.loads import GatewayLoads
 from daleroad.notices import GatewayNotice, UpstreamNotice
 from daleroad.outbox import Outbox
 from daleroad.ratelimits import RateLimit
 from daleroad.retries import WindowBudget
 from daleroad.routing import RoutingConfig, RoutingTable, ServiceRule
+from daleroad.selection import GatewayOptions, UpstreamSelector
 from daleroad.suspects import Suspects, Suspicion
 
 TrialCallback = Callable[[str], Awaitable[bool]]
@@ -74,10 +74,10 @@
         self.budget = WindowBudget(options.retry_ratio, options.retry_slack, options.retry_window)
         self.configured = anyio.Event()
         self.loads = GatewayLoads()
-        self.chooser = Chooser(
+        self.selector = UpstreamSelector(
             options, self.fleet, self.guard, self.loads, self.random, self.get_service
         )
-        self.guard.ask_grant = self.chooser.ask_grant
+        self.guard.request_grant_callback = self.selector.request_grant
 
     def tell(self, suspicion: Suspicion) -> None:
         """Queue an update about a suspected request for the coordinators and trigger sending.
@@ -143,8 +143,8 @@
         return self.serving and self.table is not None
 
     def is_outdated(self) -> bool:
-        """Return whether no coordinator was heard for longer than ``outdated_after``."""
-        limit = self.options.outdated_after
+        """Return whether no coordinator was heard for longer than ``coordinator_timeout``."""
+        limit = self.options.coordinator_timeout
         return limit is not None and self.get_heard_age() > limit
 
     def replace_config(self, config: RoutingConfig) -> None:
@@ -154,7 +154,9 @@
         """
         if self.table is None or config.version > self.table.config.version:
             self.table = RoutingTable(config)
-            self.guard.limited = frozenset(s.name for s in config.services if s.cold_rate)
+            self.guard.cold_limited_services = frozenset(
+                s.name for s in config.services if s.cold_rate
+            )
             self.configured.set()
 
     def replace_zones(self, zones: EvacuatedZones) -> bool:
@@ -193,7 +195,7 @@
 
     def count_resting(self) -> int:
         """Return how many upstreams have asked this gateway to pause requests."""
-        return self.guard.rests.count(anyio.current_time())
+        return self.guard.backoffs.count_active(anyio.current_time())
 
     def get_service(self, name: str) -> ServiceRule | None:
         """Return a service of the current configuration.
@@ -223,13 +225,18 @@
         :param signals: the signals.
         """
         now = anyio.current_time()
-        if signals.cold is not None:
-            self.fleet.note_cold(instance.id, signals.cold, now)
-        if self.fleet.note_limit(instance.id, RateLimit(signals.limit), now):
-            log_event(Event.UPSTREAM_LIMITED, id=instance.id, rate=signals.limit, by="its answer")
+        if signals.cold_seconds is not None:
+            self.fleet.note_cold(instance.id, signals.cold_seconds, now)
+        if self.fleet.note_limit(instance.id, RateLimit(signals.max_requests_per_second), now):
+            log_event(
+                Event.UPSTREAM_LIMITED,
+                id=instance.id,
+                rate=signals.max_requests_per_second,
+                by="its answer",
+            )
             self._queue_upstream_notice(instance)
-        if self.guard.rests.note(instance.get_name(), signals.rest, now):
-            log_event(Event.UPSTREAM_RESTS, id=instance.id, seconds=signals.rest)
+        if self.guard.backoffs.record(instance.get_name(), signals.backoff_seconds, now):
+            log_event(Event.UPSTREAM_RESTS, id=instance.id, seconds=signals.backoff_seconds)
         leaving = self.fleet.note_leaving(instance.id) if signals.leaving else []
         if leaving:
             log_event(Event.UPSTREAM_SAYS_LEAVING, id=instance.id)
@@ -247,14 +254,14 @@
         :param after: sequence number of the last change that the receiver has.
         """
         names = dict.fromkeys(self.upstream_news.list_after(after))
-        return tuple(list_notices(self.fleet, names, anyio.current_time()))
+        return tuple(list_upstream_notices(self.fleet, names, anyio.current_time()))
 
     def take_repeat(self, service: str) -> bool:
         """Take one retry from the budget that all gateways share; return whether it was granted.
 
         :param service: the service that the request is for.
         """
-        return self.budget.take(service, self.chooser.gateways, anyio.current_time())
+        return self.budget.take(service, self.selector.gateways, anyio.current_time())
 
     def note_replaced(self, instance: Instance) -> None:
         """Mark an upstream as gone because another instance answered at its address.
@@ -287,7 +294,7 @@
                     self._drop_upstream(instance)
 
     def _drop_upstream(self, instance: Instance) -> None:
-        self.chooser.forget(instance.id)
+        self.selector.forget(instance.id)
         self.dispatcher.forget(instance)
 
     def _handle_leaving(self, instance: Instance) -> None:
--- a/src/daleroad/generations.py
+++ b/src/daleroad/generations.py
@@ -17,13 +17,13 @@
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
 from daleroad.finishing import expect_tokens, find_latest_start
-from daleroad.holding import Holding, find_call_fingerprint
 from daleroad.jobs import Job, identify, make_work, parse_job
-from daleroad.limiting import Limits
 from daleroad.messages import EngineCompletion, PermitAnswer, PermitEnd, Work
-from daleroad.placement import rank_candidates
+from daleroad.organisationlimits import OrganisationLimits
+from daleroad.ranking import rank_upstreams
 from daleroad.records import Organisation, Upstream
 from daleroad.relay import Broken, Ended, Part, Piece, Relay, forbid
+from daleroad.requestholds import RequestHolds, fingerprint_call
 from daleroad.retries import get_backoff
 from daleroad.security import get_upstream, make_generation
 from daleroad.serving import Answer, Request, Response, Stream, make_error
@@ -73,7 +73,11 @@
     """
 
     def __init__(
-        self, env: Environment, stewardship: Stewardship, limits: Limits, holding: Holding
+        self,
+        env: Environment,
+        stewardship: Stewardship,
+        limits: OrganisationLimits,
+        holding: RequestHolds,
     ) -> None:
         self._env = env
         self._holding = holding
@@ -97,7 +101,7 @@
         if not self._can_finish_in_time(job):
             return await self._refuse_or_deliver_earlier(job, make_leaving(Ran.NO))
         slot = uuid4().hex
-        refused = await self._limits.take(job.organisation, slot)
+        refused = await self._limits.acquire(job.organisation, slot)
         if refused is not None:
             return await self._refuse_or_deliver_earlier(job, refused)
         # Never returned: makes `finally` release the slot if `_start` raises or is cancelled.
@@ -238,7 +242,7 @@
         def get_load(name: str) -> float:
             return env.loads.get(name, 0.0)
 
-        return rank_candidates(untried or healthy or known, job.prefix, get_load, env.random)
+        return rank_upstreams(untried or healthy or known, job.prefix, get_load, env.random)
 
     async def _request_permit(self, job: Job, upstream: Upstream, wait: bool) -> Permit | Failure:
         env = self._env
@@ -489,7 +493,7 @@
                     self._record_loss(job, active.permit, last_part.failure)
             await self._return_permit(active.permit, tokens, started=True, ok=whole)
         if job is not None and whole:
-            self._holding.note_whole(_make_fingerprint(job))
+            self._holding.record_success(_make_fingerprint(job))
         if job is not None and not job.route.repeatable and whole:
             answer = b"".join(active.answer)
             kept = answer.decode() if len(answer) <= CLAIM_ANSWER_BYTES else ""
@@ -506,7 +510,7 @@
             # A refusal, or a stall after the response began, is not a crash.
             return
         name = permit.upstream.name
-        self._holding.note_lost(_make_fingerprint(job), job.organisation, job.route, name)
+        self._holding.record_lost(_make_fingerprint(job), job.organisation, job.route, name)
 
     def _record_health(self, upstream: Upstream, ok: bool) -> None:
         env = self._env
@@ -516,7 +520,7 @@
 
 
 def _make_fingerprint(job: Job) -> str:
-    return find_call_fingerprint(job.organisation, job.route, "", job.digest.encode())
+    return fingerprint_call(job.organisation, job.route, "", job.digest.encode())
 
 
 async def _iterate_parts(active: ActiveGeneration) -> AsyncIterator[Part]:
--- a/src/daleroad/limitedsends.py
+++ b/src/daleroad/grantclient.py
@@ -4,14 +4,14 @@
 
 import anyio
 
+from daleroad.dispatchguard import Guard
 from daleroad.fleet import Fleet
-from daleroad.guarding import Guard
+from daleroad.grantlimits import GRANT_LIFETIME_SECONDS, FallbackShare
 from daleroad.instances import Instance, InstanceState
 from daleroad.notices import PlaceAnswer, UpstreamNotice
-from daleroad.sendlimits import GRANT_LIFETIME_SECONDS, FallbackShare
 
 
-class LimitedSends:
+class GrantClient:
     """Obtains the grants that one gateway needs to send to limited upstreams.
 
     :param gateway_id: the gateway.
@@ -24,14 +24,14 @@
         self._guard = guard
         self._fallback_share = FallbackShare(gateway_id)
 
-    def are_among(self, service: str) -> bool:
+    def has_limited_upstreams(self, service: str) -> bool:
         """Return whether a service has upstreams that need a grant for each request.
 
         :param service: its name.
         """
-        return any(map(self._guard.is_limited, self._fleet.list_ready(service)))
+        return any(map(self._guard.needs_grant, self._fleet.list_ready(service)))
 
-    def keep_grant(self, answer: PlaceAnswer, asked_at: float) -> None:
+    def store_grant(self, answer: PlaceAnswer, asked_at: float) -> None:
         """Store the grant in an answer of the leading coordinator, if there is one.
 
         :param answer: the answer.
@@ -44,24 +44,24 @@
         now = anyio.current_time()
         self._guard.grants.add(instance_id, valid_from + GRANT_LIFETIME_SECONDS, now)
 
-    def take_share(self, instance: Instance, gateways: int) -> bool:
+    def try_acquire_fallback(self, instance: Instance, gateways: int) -> bool:
         """Use this gateway's fallback share of an upstream's limit; return whether it has one now.
 
         :param instance: the upstream.
         :param gateways: the number of gateways.
         """
         rate = self._fleet.get_rate_limit(instance.id)
-        if rate is None or self._guard.is_fragile(instance):
+        if rate is None or self._guard.is_cold_limited(instance):
             return False
         return self._fallback_share.try_acquire(instance.id, rate, gateways, anyio.current_time())
 
-    def grant_share(self, instance: Instance, gateways: int) -> bool:
+    def try_store_fallback_grant(self, instance: Instance, gateways: int) -> bool:
         """Store a grant from this gateway's fallback share; return whether it has one now.
 
         :param instance: the upstream.
         :param gateways: the number of gateways.
         """
-        if not self.take_share(instance, gateways):
+        if not self.try_acquire_fallback(instance, gateways):
             return False
         self._store_grant(instance.id, anyio.current_time())
         return True
@@ -74,7 +74,7 @@
         self._fallback_share.forget(instance_id)
 
 
-def list_limits(fleet: Fleet, names: Iterable[str], now: float) -> Iterator[UpstreamNotice]:
+def list_limit_notices(fleet: Fleet, names: Iterable[str], now: float) -> Iterator[UpstreamNotice]:
     """Yield notices of the limits that instances advertised.
 
     These are part of each place request, so instances that never advertised a limit are left out.
@@ -84,12 +84,14 @@
     :param now: the time.
     """
     for name in names:
-        limit = fleet.tell_limit(name, now)
+        limit = fleet.make_limit_report(name, now)
         if limit is not None:
             yield UpstreamNotice(name, limit)
 
 
-def list_notices(fleet: Fleet, names: Iterable[str], now: float) -> Iterator[UpstreamNotice]:
+def list_upstream_notices(
+    fleet: Fleet, names: Iterable[str], now: float
+) -> Iterator[UpstreamNotice]:
     """Yield notices of the limit and the leaving state of instances.
 
     :param fleet: what is known of the instances.
@@ -99,4 +101,4 @@
     for name in names:
         known = fleet.get(name)
         leaving = known is not None and known.state is InstanceState.LEAVING
-        yield UpstreamNotice(name, fleet.tell_limit(name, now), leaving)
+        yield UpstreamNotice(name, fleet.make_limit_report(name, now), leaving)
--- a/src/daleroad/sendlimits.py
+++ b/src/daleroad/grantlimits.py
@@ -27,7 +27,7 @@
 
 GRANT_LIFETIME_SECONDS = 0.2
 """Lifetime of a grant. That of the placer's grants begins when the gateway asks for them; it waits
-PLACE_SECONDS at most for the answer."""
+PLACER_TIMEOUT_SECONDS at most for the answer."""
 
 MAX_ARRIVAL_DELAY_SECONDS = GRANT_LIFETIME_SECONDS + CONNECT_SECONDS
 """Longest time from a grant to the arrival of its request: its lifetime, and the longest time that
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class Bound:
+class WindowLimit:
     """A limit on the requests that arrive in any window of some length.
 
     :param window_seconds: length of the window.
@@ -81,15 +81,15 @@
         """
         return math.floor(rate * self.overage + self.tolerance)
 
-    def make_bound(self, rate: float) -> Bound:
+    def make_window_limit(self, rate: float) -> WindowLimit:
         """Return the limit on what one upstream may get while it is cold.
 
         :param rate: the service's cold rate, in requests a second.
         """
-        return Bound(self.compute_max_requests(rate), 1.0)
+        return WindowLimit(self.compute_max_requests(rate), 1.0)
 
 
-def make_limit_bounds(rate: float) -> tuple[Bound, ...]:
+def make_window_limits(rate: float) -> tuple[WindowLimit, ...]:
     """Return the limits for an upstream that advertises a rate: on one second and a longer window.
 
     The one on a second spreads the grants over the longer window. So two successive leaders, which
@@ -100,11 +100,14 @@
     window = SMOOTHING_WINDOW_SECONDS
     if rate * window < 1:
         window = PROBE_INTERVAL_SECONDS if rate * PROBE_INTERVAL_SECONDS < 1 else 1 / rate
-    return (Bound(max(1, math.ceil(rate)), 1.0), Bound(max(1, math.floor(rate * window)), window))
+    return (
+        WindowLimit(max(1, math.ceil(rate)), 1.0),
+        WindowLimit(max(1, math.floor(rate * window)), window),
+    )
 
 
 @dataclass
-class SendLimits:
+class GrantLimiter:
     """Counts grants per upstream, for upstreams that have a limit or may soon have one.
 
     Grants of a former leader are not known here. So upstreams with a limit get nothing in the first
@@ -119,7 +122,7 @@
     _term_started_at: float = float("inf")
     _grant_times: dict[str, deque[float]] = field(default_factory=dict)
 
-    def begin(self, term: int, now: float) -> None:
+    def start_term(self, term: int, now: float) -> None:
         """Note that this process leads in a term; repeated calls for one term have no effect.
 
         :param term: the term.
@@ -129,7 +132,7 @@
             self._term = term
             self._term_started_at = now
 
-    def is_full(self, instance_id: str, bounds: Sequence[Bound], now: float) -> bool:
+    def is_at_limit(self, instance_id: str, bounds: Sequence[WindowLimit], now: float) -> bool:
         """Return whether the grants for an upstream have reached one of its limits.
 
         :param instance_id: the upstream.
@@ -139,7 +142,7 @@
         grant_times = self._grant_times.get(instance_id, deque())
         return any(_count_recent(grant_times, bound, now) >= bound.max_requests for bound in bounds)
 
-    def may_get(self, instance_id: str, bounds: Sequence[Bound], now: float) -> bool:
+    def may_grant(self, instance_id: str, bounds: Sequence[WindowLimit], now: float) -> bool:
         """Return whether an upstream with limits may get another request now.
 
         :param instance_id: the upstream.
@@ -147,9 +150,9 @@
         :param now: the time.
         """
         knows_recent_grants = now >= self._term_started_at + LOOKBACK_SECONDS
-        return knows_recent_grants and not self.is_full(instance_id, bounds, now)
+        return knows_recent_grants and not self.is_at_limit(instance_id, bounds, now)
 
-    def grant(self, instance_id: str, now: float) -> None:
+    def record_grant(self, instance_id: str, now: float) -> None:
         """Record a grant for one request to an upstream.
 
         :param instance_id: the upstream.
@@ -170,7 +173,7 @@
                 del self._grant_times[instance_id]
 
 
-def _count_recent(grant_times: deque[float], bound: Bound, now: float) -> int:
+def _count_recent(grant_times: deque[float], bound: WindowLimit, now: float) -> int:
     """Return how many granted requests may arrive in one window with one that is granted now.
 
     Returns the limit's number of requests if there are more.
@@ -247,7 +250,7 @@
         self._expiry_times = {name: times for name, times in valid if times}
         self._expiry_times.setdefault(instance_id, []).append(expires_at)
 
-    def take(self, instance_id: str, now: float) -> bool:
+    def consume(self, instance_id: str, now: float) -> bool:
         """Consume a valid grant; return whether there was one.
 
         :param instance_id: the upstream that a request goes to.
--- a/src/daleroad/lengths.py
+++ b/src/daleroad/lengths.py
@@ -4,7 +4,7 @@
 
 from sortedcontainers import SortedList
 
-from daleroad.defaults import LENGTH_UNKNOWN, LENGTH_WINDOW
+from daleroad.defaults import DEFAULT_OUTPUT_TOKENS, LENGTH_WINDOW_SIZE
 
 _MIN_SAMPLES = 8
 
@@ -15,7 +15,7 @@
     :param size: maximum number of lengths.
     """
 
-    def __init__(self, size: int = LENGTH_WINDOW) -> None:
+    def __init__(self, size: int = LENGTH_WINDOW_SIZE) -> None:
         self._size = size
         self._recent: deque[int] = deque()
         self._sorted: SortedList = SortedList()
@@ -52,7 +52,7 @@
         return sum(self._recent) / len(self._recent) if self._recent else None
 
 
-class Lengths:
+class OutputLengths:
     """Length windows by route and model version.
 
     A model version with too few samples is estimated from all outputs of its route, and a route
@@ -72,7 +72,7 @@
         for key in ((route, model), (route, "")):
             self._windows.setdefault(key, LengthWindow()).add(length)
 
-    def estimate_rest(
+    def estimate_remaining_tokens(
         self, route: str, model: str, produced_tokens: int, max_tokens: int, quantile: float
     ) -> float:
         """Return the expected number of remaining output tokens.
@@ -89,7 +89,7 @@
         window = self._find_window(route, model)
         length = window.get_quantile(quantile, produced_tokens) if window else None
         if length is None:
-            length = max(2 * produced_tokens, LENGTH_UNKNOWN)
+            length = max(2 * produced_tokens, DEFAULT_OUTPUT_TOKENS)
         return max(1.0, min(length, max_tokens) - produced_tokens)
 
     def find_quantile(self, route: str, model: str, quantile: float) -> float | None:
@@ -104,7 +104,7 @@
             return None
         return window.get_quantile(quantile, 0)
 
-    def estimate_mean(self, route: str, model: str) -> float:
+    def estimate_mean_tokens(self, route: str, model: str) -> float:
         """Return the mean output length in tokens, or a default if there are no samples.
 
         :param route: the route.
@@ -112,7 +112,7 @@
         """
         window = self._find_window(route, model)
         mean = window.get_mean() if window else None
-        return mean if mean is not None else LENGTH_UNKNOWN
+        return mean if mean is not None else DEFAULT_OUTPUT_TOKENS
 
     def _find_window(self, route: str, model: str) -> LengthWindow | None:
         """Return the window to estimate from, or ``None`` if there is none."""
--- a/src/daleroad/loads.py
+++ b/src/daleroad/loads.py
@@ -31,7 +31,7 @@
     _reports: dict[str, _LoadReport] = field(default_factory=dict)
     _totals: dict[str, Load] = field(default_factory=dict)
 
-    def note(self, gateway: str, loads: tuple[Load, ...], now: float) -> None:
+    def set_report(self, gateway: str, loads: tuple[Load, ...], now: float) -> None:
         """Replace a gateway's load report.
 
         :param gateway: its address.
@@ -42,7 +42,7 @@
         self._reports[gateway] = _LoadReport(loads, now)
         self._add_to_totals(loads)
 
-    def book(self, gateway: str, load: Load, now: float) -> None:
+    def add_load(self, gateway: str, load: Load, now: float) -> None:
         """Add load that a gateway is about to create, until its next report replaces it.
 
         :param gateway: its address.
@@ -52,7 +52,7 @@
         known = {reported.instance: reported for reported in self._get_reported(gateway)}
         before = known.get(load.instance)
         known[load.instance] = before.add(load) if before is not None else load
-        self.note(gateway, tuple(known.values()), now)
+        self.set_report(gateway, tuple(known.values()), now)
 
     def get_total(self, instance_id: str) -> Load:
         """Return the load of all gateways on an instance.
@@ -65,7 +65,7 @@
         """Return the number of gateways with a load report."""
         return len(self._reports)
 
-    def prune(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove the reports that are too old.
 
         :param now: the time.
@@ -121,7 +121,7 @@
         self._own: dict[str, Load] = {}
         self._others: dict[str, Load] = {}
 
-    def add(self, instance: Instance, runs: int, tokens: int, unread: int = 0) -> None:
+    def add_load(self, instance: Instance, runs: int, tokens: int, unread: int = 0) -> None:
         """Add load on an instance; negative numbers remove it.
 
         :param instance: the instance.
@@ -139,11 +139,11 @@
         if tokens or unread:
             self.changed.set()
 
-    def list_own(self) -> tuple[Load, ...]:
+    def list_own_loads(self) -> tuple[Load, ...]:
         """Return this gateway's own load on each instance."""
         return tuple(self._own.values())
 
-    def replace_others(self, loads: tuple[Load, ...]) -> None:
+    def set_other_loads(self, loads: tuple[Load, ...]) -> None:
         """Replace the load of the other gateways.
 
         :param loads: their load on each instance.
--- a/src/daleroad/loopback.py
+++ b/src/daleroad/loopback.py
@@ -6,8 +6,8 @@
 from itertools import islice
 from random import Random
 
-from daleroad.batching import EngineShape
 from daleroad.engine import EngineOptions
+from daleroad.enginemodel import EngineParameters
 from daleroad.plain import PlainOptions
 from daleroad.records import (
     ModelVersion,
@@ -27,7 +27,7 @@
 SECRET = "loopback-cluster-secret"
 UPSTREAM_TOKEN = "loopback-upstream"
 OPERATOR_TOKENS = {STOYANOV: "operator-stoyanov-token", TAMARACK: "operator-tamarack-token"}
-_SHAPE = EngineShape()
+_SHAPE = EngineParameters()
 ZONES = ("hall-a", "hall-b", "hall-c")
 
 
@@ -168,7 +168,9 @@
     plain: tuple[PlainOptions, ...]
 
 
-def make_site(data: str, entries: int = 3, engines: int = 1, shape: EngineShape = _SHAPE) -> Site:
+def make_site(
+    data: str, entries: int = 3, engines: int = 1, shape: EngineParameters = _SHAPE
+) -> Site:
     """Return a site of 3 control processes and some entries, engines and plain services.
 
     :param data: folder below which the control processes keep their data.
--- a/src/daleroad/roommodel.py
+++ b/src/daleroad/memorymodel.py
@@ -11,15 +11,15 @@
 from enum import StrEnum
 from random import Random
 
-from daleroad.candidates import Judge
-from daleroad.defaults import CROWDED_OBJECTIVES, CROWDED_PAUSE_SECONDS
+from daleroad.candidates import CandidateEvaluator
+from daleroad.defaults import MAX_MEMORY_WAIT_OBJECTIVES, MEMORY_WAIT_PAUSE_SECONDS
 from daleroad.fleet import Fleet
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.loads import LoadTotals
 from daleroad.notices import Load
-from daleroad.picking import Candidate, pick_upstream
-from daleroad.placing import LONG, SHORT, PromptKind, draw
+from daleroad.placementmodel import LONG_OUTPUT, SHORT_OUTPUT, PromptKind, draw_length
 from daleroad.routing import EngineRule, ServiceRule
+from daleroad.scoring import Candidate, pick_upstream
 
 STEP_SECONDS = 0.02
 """Step of virtual time; the prefill of a prompt takes 0.3 to 0.5 s."""
@@ -103,7 +103,7 @@
     engine: str = ""
 
     def is_long(self) -> bool:
-        return self.kind is LONG
+        return self.kind is LONG_OUTPUT
 
     def count_tokens(self) -> int:
         """Return the tokens of memory that placement counts for it."""
@@ -114,7 +114,7 @@
 
     def is_late(self) -> bool:
         first_token_at = self.first_token_at if self.first_token_at is not None else float("inf")
-        return bool(self.preemptions) or first_token_at - self.sent_at > self.kind.objective
+        return bool(self.preemptions) or first_token_at - self.sent_at > self.kind.objective_seconds
 
 
 @dataclass
@@ -247,13 +247,18 @@
 
     def _add_arrivals(self, now: float) -> None:
         disturbed = self.is_disturbed(now)
-        for kind, factor in ((LONG, self.case.long_factor), (SHORT, self.case.short_factor)):
+        for kind, factor in (
+            (LONG_OUTPUT, self.case.long_factor),
+            (SHORT_OUTPUT, self.case.short_factor),
+        ):
             rate = self.case.rate * kind.share * (factor if disturbed else 1.0)
             if self.random.random() < rate * STEP_SECONDS:
-                prompt = int(draw(self.random, *kind.tokens))
-                mean = 650.0 if kind is LONG else kind.output[0]
-                limit = MAX_LONG_OUTPUT_TOKENS if kind is LONG else MAX_SHORT_OUTPUT_TOKENS
-                output = max(1, min(limit, int(draw(self.random, mean, kind.output[1]))))
+                prompt = int(draw_length(self.random, *kind.prompt_length))
+                mean = 650.0 if kind is LONG_OUTPUT else kind.output_length[0]
+                limit = MAX_LONG_OUTPUT_TOKENS if kind is LONG_OUTPUT else MAX_SHORT_OUTPUT_TOKENS
+                output = max(
+                    1, min(limit, int(draw_length(self.random, mean, kind.output_length[1])))
+                )
                 request = _Request(f"w{len(self.all)}", kind, now, prompt, output)
                 self.all.append(request)
                 self.pending.append((now, request))
@@ -265,7 +270,7 @@
         for engine in list(self.engines.values())[: int(self.case.lost_share * self.case.engines)]:
             for request in (*engine.running, *engine.waiting):
                 request.lost = True
-                self.loads.note(request.name, (), now)
+                self.loads.set_report(request.name, (), now)
             engine.running, engine.waiting = [], []
 
     def _place_pending(self, now: float) -> None:
@@ -274,13 +279,16 @@
         for _, request in due:
             picked = self._pick(request, now)
             waited = now - request.sent_at
-            may_wait = request.is_long() and waited < CROWDED_OBJECTIVES * request.kind.objective
-            if picked.crowded and may_wait:
-                self.pending.append((now + CROWDED_PAUSE_SECONDS, request))
+            may_wait = (
+                request.is_long()
+                and waited < MAX_MEMORY_WAIT_OBJECTIVES * request.kind.objective_seconds
+            )
+            if picked.lacks_memory and may_wait:
+                self.pending.append((now + MEMORY_WAIT_PAUSE_SECONDS, request))
                 continue
             request.engine = picked.instance.id
             load = Load(request.engine, 1, request.count_tokens(), request.prompt)
-            self.loads.book(request.name, load, now)
+            self.loads.add_load(request.name, load, now)
             self.engines[request.engine].waiting.append(request)
 
     def _pick(self, request: _Request, now: float) -> Candidate:
@@ -288,12 +296,12 @@
         zones = [f"zone-{n}" for n in range(self.case.evacuated if disturbed else 0)]
         lost = int(self.case.lost_share * self.case.engines) if disturbed else 0
         excluded = [f"e{number}" for number in range(lost)]
-        judge = Judge(
+        judge = CandidateEvaluator(
             self.fleet, _HEARTBEAT_SECONDS, self.loads.get_total, lambda name: False, zones
         )
         candidates = judge.list_candidates(_SERVICE, request.count_tokens(), excluded, now)
         if self.policy is Policy.LEAST_LOAD:
-            candidates = (replace(candidate, crowded=False) for candidate in candidates)
+            candidates = (replace(candidate, lacks_memory=False) for candidate in candidates)
         picked = pick_upstream(candidates, "", self.random)
         assert picked is not None
         return picked
@@ -302,7 +310,7 @@
         """Report to the placer that a request got its first token or ended."""
         ended = request.generated >= request.output
         loads = () if ended else (Load(request.engine, 1, request.count_tokens()),)
-        self.loads.note(request.name, loads, now)
+        self.loads.set_report(request.name, loads, now)
 
 
 def _summarize(requests: Iterable[_Request]) -> KindShares:
--- a/src/daleroad/moving.py
+++ b/src/daleroad/moving.py
@@ -22,10 +22,10 @@
 from daleroad.fleet import GONE_KEPT_SECONDS
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState
-from daleroad.picking import COPY_ZONE_BONUS, pick_upstream
 from daleroad.plans import Plan
 from daleroad.routing import ServiceRule
 from daleroad.runs import Continuation, Run
+from daleroad.scoring import MIGRATION_ZONE_BONUS, pick_upstream
 
 
 class EngineMover:
@@ -127,7 +127,7 @@
         A slot without a start time has a final copy only.
         """
         job = run.attempt.job
-        self._gateway.loads.add(destination, 1, run.tokens)
+        self._gateway.loads.add_load(destination, 1, run.tokens)
         try:
             slot = plan.slots.get(job.id)
             if slot is None or slot.start is not None:
@@ -139,7 +139,7 @@
             await anyio.sleep_until(plan.get_stop(job.id))
             return await self._copy(run, destination, final=True)
         finally:
-            self._gateway.loads.add(destination, -1, -run.tokens)
+            self._gateway.loads.add_load(destination, -1, -run.tokens)
 
     async def _find_plan(self, origin: Instance, run_id: str) -> Plan:
         """Return the plan in which a run has its slot; an engine's plan is made once."""
@@ -247,10 +247,10 @@
 
     def _list_destinations(self, origin: Instance, service: ServiceRule) -> Iterator[Room]:
         memory = service.engine.memory_tokens if service.engine else 0
-        for candidate in self._gateway.chooser.list_candidates(service, 0, {origin.id}):
+        for candidate in self._gateway.selector.list_candidates(service, 0, {origin.id}):
             engine = candidate.instance
             free = memory - self._gateway.loads.get_total(engine.id).tokens
-            if not candidate.doubtful and not candidate.overdue:
+            if not candidate.unhealthy and not candidate.overdue:
                 yield Room(engine.id, engine.zone == origin.zone, free)
 
     def _get_planned_destination(
@@ -292,7 +292,7 @@
         known = self._gateway.fleet.get(run.backup.id)
         if known is None or known.state is not InstanceState.READY:
             return None
-        return None if self._gateway.guard.find_closed(known) else known
+        return None if self._gateway.guard.find_unavailable_reason(known) else known
 
     def _will_end_soon(self, run: Run) -> bool:
         prompt = run.attempt.job.prompt
@@ -304,11 +304,11 @@
         service = gateway.get_service(origin.service)
         if service is None:
             return None
-        candidates = gateway.chooser.list_candidates(service, run.tokens, excluded)
+        candidates = gateway.selector.list_candidates(service, run.tokens, excluded)
         # A copy to another availability zone takes about twice as long.
-        found = pick_upstream(candidates, origin.zone, gateway.random, COPY_ZONE_BONUS)
+        found = pick_upstream(candidates, origin.zone, gateway.random, MIGRATION_ZONE_BONUS)
         if found is None:
-            return gateway.chooser.pick_limited(service, run.tokens, excluded)
+            return gateway.selector.pick_rate_limited(service, run.tokens, excluded)
         return found.instance
 
     def _log_copy_failure(self, run: Run, to: str, reason: str) -> None:
--- a/src/daleroad/limiting.py
+++ b/src/daleroad/organisationlimits.py
@@ -16,7 +16,7 @@
 _RENEW_INTERVAL_SECONDS = 1.0
 
 
-class Limits:
+class OrganisationLimits:
     """Acquires, renews and releases slots of organisations that have a limit.
 
     :param env: the entry's environment.
@@ -36,13 +36,13 @@
                 if requests:
                     await self._renew(organisation, tuple(requests))
 
-    def refresh(self) -> None:
+    def note_catalog_change(self) -> None:
         """Take in a change of the catalog, by which other entries may count."""
         if self._env.catalog.epoch != self._epoch:
             self._epoch = self._env.catalog.epoch
-            self.quota.note_change(anyio.current_time())
+            self.quota.note_membership_change(anyio.current_time())
 
-    async def take(self, organisation: Organisation, request: str) -> Failure | None:
+    async def acquire(self, organisation: Organisation, request: str) -> Failure | None:
         """Acquire a slot for a request, or return why there is none.
 
         :param organisation: the organisation.
@@ -58,7 +58,7 @@
         slot_request = SlotRequest(organisation.name, request, organisation.most_running)
         failure: Failure | None
         if counter.name == self._env.settings.name:
-            failure = self.quota.take(
+            failure = self.quota.acquire(
                 slot_request.organisation,
                 slot_request.request,
                 slot_request.most,
@@ -99,7 +99,7 @@
     async def _renew(self, organisation: str, requests: tuple[str, ...]) -> None:
         counter = self._find_counter(organisation)
         if counter is None or counter.name == self._env.settings.name:
-            self.quota.hold(organisation, requests, anyio.current_time())
+            self.quota.renew(organisation, requests, anyio.current_time())
             return
         hold = SlotHold(organisation, requests)
         await self._env.links.call(f"{counter.address}/limits/hold", encode(hold), type(None))
--- a/src/daleroad/placing.py
+++ b/src/daleroad/placementmodel.py
@@ -17,7 +17,13 @@
 
 from daleroad.instances import Instance, InstanceState
 from daleroad.notices import Load
-from daleroad.picking import Candidate, Spread, estimate_load, make_spread, pick_upstream
+from daleroad.scoring import (
+    Candidate,
+    PreferenceOrder,
+    estimate_load,
+    make_preference_order,
+    pick_upstream,
+)
 
 PREFILL_TOKENS_PER_SECOND = 7500.0
 """Prefill rate of an engine that also decodes: 112 prompt tokens in a step of 15 ms."""
@@ -45,19 +51,19 @@
     """One kind of prompt; lengths are drawn from log-normal distributions.
 
     :param share: fraction of all prompts.
-    :param tokens: mean of the prompt length, and its standard deviation over the mean.
-    :param output: mean of the output length, and its standard deviation over the mean.
-    :param objective: objective for the time to the first token, in seconds.
+    :param prompt_length: mean of the prompt length, and its standard deviation over the mean.
+    :param output_length: mean of the output length, and its standard deviation over the mean.
+    :param objective_seconds: objective for the time to the first token, in seconds.
     """
 
     share: float
-    tokens: tuple[float, float]
-    output: tuple[float, float]
-    objective: float
+    prompt_length: tuple[float, float]
+    output_length: tuple[float, float]
+    objective_seconds: float
 
 
-LONG = PromptKind(0.42, (3080.0, 0.35), (936.0, 0.84), 1.8)
-SHORT = PromptKind(0.58, (2550.0, 0.6), (12.0, 0.9), 1.5)
+LONG_OUTPUT = PromptKind(0.42, (3080.0, 0.35), (936.0, 0.84), 1.8)
+SHORT_OUTPUT = PromptKind(0.58, (2550.0, 0.6), (12.0, 0.9), 1.5)
 
 
 @dataclass(frozen=True)
@@ -130,21 +136,21 @@
         known = self.own[gateway].get(load.instance, Load(load.instance))
         self.own[gateway][load.instance] = known.add(load)
 
-    def make_gateway_spread(self, gateway: int, kind: PromptKind) -> Spread:
-        gateways = self.case.gateways if self.case.spread and kind is SHORT else 1
-        return make_spread(f"gateway-{gateway}", gateways)
+    def make_gateway_spread(self, gateway: int, kind: PromptKind) -> PreferenceOrder:
+        gateways = self.case.gateways if self.case.spread and kind is SHORT_OUTPUT else 1
+        return make_preference_order(f"gateway-{gateway}", gateways)
 
     def choose_engine(self, gateway: int, kind: PromptKind, tokens: int) -> str:
         zone = self.engines[gateway % len(self.engines)].zone
         if self.case.central_placer:
-            spread = Spread()
+            spread = PreferenceOrder()
             candidates = (self.make_placer_candidate(engine, tokens) for engine in self.engines)
         else:
             spread = self.make_gateway_spread(gateway, kind)
             candidates = (
                 self.make_gateway_candidate(gateway, engine, tokens) for engine in self.engines
             )
-        found = pick_upstream(candidates, zone, self.random, spread=spread)
+        found = pick_upstream(candidates, zone, self.random, preference=spread)
         assert found is not None
         return found.instance.id
 
@@ -233,18 +239,18 @@
 def _make_arrival(simulation: _Simulation) -> EventHandler:
     def arrive(now: float) -> Iterator[tuple[float, Any]]:
         random = simulation.random
-        kind = LONG if random.random() < LONG.share else SHORT
+        kind = LONG_OUTPUT if random.random() < LONG_OUTPUT.share else SHORT_OUTPUT
         gateway = random.randrange(simulation.case.gateways)
-        prompt = int(draw(random, *kind.tokens))
-        output = int(draw(random, *kind.output))
-        tokens = prompt + int(kind.output[0])
+        prompt = int(draw_length(random, *kind.prompt_length))
+        output = int(draw_length(random, *kind.output_length))
+        tokens = prompt + int(kind.output_length[0])
         engine = simulation.choose_engine(gateway, kind, prompt)
         simulation.add_own(gateway, Load(engine, 1, tokens, prompt))
         simulation.add_placed(Load(engine, 1, tokens, prompt))
         begins_at = max(now, simulation.prefill_free_at[engine])
         simulation.prefill_free_at[engine] = begins_at + prompt / PREFILL_TOKENS_PER_SECOND
         wait = simulation.prefill_free_at[engine] - now
-        simulation.waits.append((wait, wait > kind.objective))
+        simulation.waits.append((wait, wait > kind.objective_seconds))
         yield wait, _make_load_change(simulation, gateway, Load(engine, 0, 0, -prompt))
         duration = wait + output * DECODE_SECONDS_PER_TOKEN
         yield duration, _make_load_change(simulation, gateway, Load(engine, -1, -tokens))
@@ -265,7 +271,7 @@
     return change
 
 
-def draw(random: Random, mean: float, spread: float) -> float:
+def draw_length(random: Random, mean: float, spread: float) -> float:
     """Draw a length in tokens from a log-normal distribution, truncated at a maximum.
 
     :param random: source of randomness.
--- a/src/daleroad/placer.py
+++ b/src/daleroad/placer.py
@@ -2,7 +2,7 @@
 
 One gateway of many places few of the prompts itself and learns of the others' late. The placer
 records the load of each prompt when it chooses the engine, so that the next choice takes it into
-account. ``tests/test_placing.py`` compares both in simulation.
+account. ``tests/test_placementmodel.py`` compares both in simulation.
 
 Does no I/O; the caller passes in the time.
 """
@@ -11,14 +11,14 @@
 from dataclasses import replace
 from random import Random
 
-from daleroad.candidates import Judge
+from daleroad.candidates import CandidateEvaluator
 from daleroad.fleet import Fleet
+from daleroad.grantlimits import ColdRule, GrantLimiter, WindowLimit, make_window_limits
 from daleroad.loads import LoadTotals
 from daleroad.notices import Load, PlaceAnswer, PlaceRequest
-from daleroad.picking import Candidate, pick_upstream
 from daleroad.routing import ServiceRule
-from daleroad.sendlimits import Bound, ColdRule, SendLimits, make_limit_bounds
-from daleroad.unreached import Unreached
+from daleroad.scoring import Candidate, pick_upstream
+from daleroad.unreachable import UnreachableUpstreams
 
 
 class Placer:
@@ -37,11 +37,11 @@
         loads: LoadTotals,
         heartbeat_seconds: float,
         random: Random,
-        limits: SendLimits | None = None,
+        limits: GrantLimiter | None = None,
     ) -> None:
-        self._limits = limits or SendLimits(ColdRule())
+        self._limits = limits or GrantLimiter(ColdRule())
         self._fleet = fleet
-        self._unreached = Unreached(fleet)
+        self._unreached = UnreachableUpstreams(fleet)
         self._loads = loads
         self._heartbeat_seconds = heartbeat_seconds
         self._random = random
@@ -70,10 +70,10 @@
         failing = frozenset(request.failing)
 
         def is_failing(instance_id: str) -> bool:
-            unreachable = self._unreached.is_out_of_reach(instance_id, request.zone, now)
+            unreachable = self._unreached.is_unreachable(instance_id, request.zone, now)
             return unreachable or instance_id in failing
 
-        judge = Judge(
+        judge = CandidateEvaluator(
             self._fleet, self._heartbeat_seconds, self._loads.get_total, is_failing, evacuated_zones
         )
         candidates = judge.list_candidates(service, request.tokens, request.excluded, now)
@@ -83,15 +83,15 @@
         chosen = pick_upstream(candidates, request.zone, self._random)
         if chosen is None:
             return PlaceAnswer("")
-        if chosen.crowded and request.patient:
+        if chosen.lacks_memory and request.patient:
             return PlaceAnswer("", crowded=True)
         # With a cold rate, requests to warm upstreams count too: one may be cold without its being
         # known here yet.
-        granted = bool(service.cold_rate) or chosen.limited
+        granted = bool(service.cold_rate) or chosen.rate_limited
         if granted:
-            self._limits.grant(chosen.instance.id, now)
+            self._limits.record_grant(chosen.instance.id, now)
         load = Load(chosen.instance.id, 1, request.tokens, request.unread)
-        self._loads.book(request.gateway, load, now)
+        self._loads.add_load(request.gateway, load, now)
         return PlaceAnswer(chosen.instance.id, granted)
 
     def _note_unreached(self, request: PlaceRequest, now: float) -> None:
@@ -99,31 +99,31 @@
         if request.unreached:
             self._unreached.prune()
         for instance_id in request.unreached:
-            self._unreached.note(instance_id, request.zone, now)
+            self._unreached.record_failure(instance_id, request.zone, now)
 
     def _apply_limits(
         self, candidates: Iterator[Candidate], service: ServiceRule, now: float
     ) -> Iterator[Candidate]:
-        """Leave out upstreams whose limits allow no other request now, and mark some as doubtful.
+        """Leave out upstreams whose limits allow no other request now, and mark some as unhealthy.
 
         An upstream may be cold without its being known here yet. If the service has a cold rate,
-        one with as many recent grants as a cold upstream may have is therefore marked as doubtful:
-        it is chosen only when all others are doubtful too.
+        one with as many recent grants as a cold upstream may have is therefore marked as unhealthy:
+        it is chosen only when all others are unhealthy too.
         """
-        cold_limit = self._limits.rule.make_bound(service.cold_rate)
+        cold_limit = self._limits.rule.make_window_limit(service.cold_rate)
         for candidate in candidates:
             instance_id = candidate.instance.id
             bounds = tuple(self._list_bounds(candidate, service, cold_limit))
-            if bounds and not self._limits.may_get(instance_id, bounds, now):
+            if bounds and not self._limits.may_grant(instance_id, bounds, now):
                 continue
-            if service.cold_rate and self._limits.is_full(instance_id, (cold_limit,), now):
-                yield replace(candidate, doubtful=True)
+            if service.cold_rate and self._limits.is_at_limit(instance_id, (cold_limit,), now):
+                yield replace(candidate, unhealthy=True)
             else:
                 yield candidate
 
     def _list_bounds(
-        self, candidate: Candidate, service: ServiceRule, cold_limit: Bound
-    ) -> Iterator[Bound]:
+        self, candidate: Candidate, service: ServiceRule, cold_limit: WindowLimit
+    ) -> Iterator[WindowLimit]:
         """Yield the limits of an upstream: if it is cold, and if it advertises a rate limit.
 
         :param candidate: the upstream.
@@ -134,4 +134,4 @@
             yield cold_limit
         rate_limit = self._fleet.get_rate_limit(candidate.instance.id)
         if rate_limit is not None:
-            yield from make_limit_bounds(rate_limit)
+            yield from make_window_limits(rate_limit)
--- a/src/daleroad/placeclient.py
+++ b/src/daleroad/placerclient.py
@@ -9,7 +9,7 @@
 
 from daleroad.calls import Calls, make_url
 from daleroad.codec import encode
-from daleroad.defaults import PLACE_PAUSE_SECONDS, PLACE_SECONDS, TELL_LOADS_SECONDS
+from daleroad.defaults import LOAD_BATCH_SECONDS, PLACER_RETRY_SECONDS, PLACER_TIMEOUT_SECONDS
 from daleroad.errors import Failure
 from daleroad.events import Event, log_event
 from daleroad.gateway import Gateway
@@ -22,7 +22,7 @@
 )
 
 
-class PlaceClient:
+class PlacerClient:
     """Requests placements from the leading coordinator, and reports load changes to it.
 
     :param gateway: the gateway.
@@ -39,21 +39,23 @@
         self._failed_at = float("-inf")
         self._is_failing = False
 
-    async def ask(self, request: PlaceRequest) -> PlaceAnswer | None:
+    async def request_placement(self, request: PlaceRequest) -> PlaceAnswer | None:
         """Return the leading coordinator's answer, or ``None`` if the gateway must choose itself.
 
-        After a failure the coordinator is not asked again for ``PLACE_PAUSE_SECONDS``.
+        After a failure the coordinator is not asked again for ``PLACER_RETRY_SECONDS``.
 
         :param request: the request.
         """
         leader = self._get_leader()
         now = anyio.current_time()
-        if leader is None or now - self._failed_at < PLACE_PAUSE_SECONDS:
+        if leader is None or now - self._failed_at < PLACER_RETRY_SECONDS:
             return None
         url = f"{make_url(leader)}/site/place"
         answer = None
-        with anyio.move_on_after(PLACE_SECONDS):
-            answer = await self._calls.call(url, encode(request), PlaceAnswer, PLACE_SECONDS)
+        with anyio.move_on_after(PLACER_TIMEOUT_SECONDS):
+            answer = await self._calls.call(
+                url, encode(request), PlaceAnswer, PLACER_TIMEOUT_SECONDS
+            )
         if isinstance(answer, PlaceAnswer):
             self._set_failing(False, leader, "")
             return answer
@@ -62,7 +64,7 @@
         self._set_failing(True, leader, reason)
         return None
 
-    async def ask_trial(self, fingerprint: str) -> bool:
+    async def request_trial(self, fingerprint: str) -> bool:
         """Return whether this gateway may try a long-held request; only one gateway may at a time.
 
         :param fingerprint: fingerprint of the request.
@@ -72,23 +74,23 @@
             return False
         url = f"{make_url(leader)}/site/trial"
         body = encode(TrialRequest(fingerprint))
-        answer = await self._calls.call(url, body, TrialAnswer, PLACE_SECONDS)
+        answer = await self._calls.call(url, body, TrialAnswer, PLACER_TIMEOUT_SECONDS)
         return isinstance(answer, TrialAnswer) and answer.granted
 
-    async def run(self) -> None:
+    async def report_loads(self) -> None:
         """Report load changes to the leading coordinator in short batches, until cancelled."""
         gateway = self._gateway
         while True:
             await gateway.loads.changed.wait()
             gateway.loads.changed = anyio.Event()
-            await anyio.sleep(TELL_LOADS_SECONDS)
+            await anyio.sleep(LOAD_BATCH_SECONDS)
             leader = self._get_leader()
             if leader is None:
                 continue
-            request = LoadsRequest(gateway.options.address, gateway.loads.list_own())
+            request = LoadsRequest(gateway.options.address, gateway.loads.list_own_loads())
             url = f"{make_url(leader)}/site/loads"
             # A lost report needs no retry: each watch request carries all loads.
-            await self._calls.call(url, encode(request), type(None), PLACE_PAUSE_SECONDS)
+            await self._calls.call(url, encode(request), type(None), PLACER_RETRY_SECONDS)
 
     def _set_failing(self, failing: bool, leader: str, reason: str) -> None:
         if failing != self._is_failing:
--- a/src/daleroad/presence.py
+++ b/src/daleroad/presence.py
@@ -148,7 +148,7 @@
                 all_known = False
             else:
                 known.heard_at = max(known.heard_at, now - age)
-        self.shared.note(message.suspicions, now)
+        self.shared.merge_reports(message.suspicions, now)
         return all_known
 
     @contextmanager
@@ -166,8 +166,8 @@
         """
         now = anyio.current_time()
         self._record_gateway(message.gateway, now)
-        self.loads.note(message.gateway.address, message.loads, now)
-        self.shared.note(message.suspicions, now)
+        self.loads.set_report(message.gateway.address, message.loads, now)
+        self.shared.merge_reports(message.suspicions, now)
         with self.wake_on_fleet_change():
             for notice in message.upstreams:
                 self._record_upstream(notice, message.gateway.address, now)
@@ -198,8 +198,8 @@
         if late_seconds > LOOP_STALL_SECONDS:
             self._last_stall = _Stall(late_seconds, now + LOOP_STALL_SECONDS)
         self._pruned_at = now
-        self.loads.prune(now)
-        self.shared.turn(now)
+        self.loads.remove_expired(now)
+        self.shared.tick(now)
         for instance in self.fleet.prune(now):
             log_event(Event.UPSTREAM_LEFT, id=instance.id, service=instance.service, why="age")
             self._wake()
--- a/src/daleroad/quota.py
+++ b/src/daleroad/quota.py
@@ -29,14 +29,16 @@
     membership_changed_at: float = float("-inf")
     _slots: dict[str, dict[str, float]] = field(default_factory=dict)
 
-    def note_change(self, now: float) -> None:
+    def note_membership_change(self, now: float) -> None:
         """Note a change of the entries, after which this one may count for other organisations.
 
         :param now: the time.
         """
         self.membership_changed_at = now
 
-    def take(self, organisation: str, request: str, max_running: int, now: float) -> Failure | None:
+    def acquire(
+        self, organisation: str, request: str, max_running: int, now: float
+    ) -> Failure | None:
         """Acquire or renew a slot, or return why there is none.
 
         :param organisation: the organisation.
@@ -55,7 +57,7 @@
         slots[request] = now
         return None
 
-    def hold(self, organisation: str, requests: Iterable[str], now: float) -> None:
+    def renew(self, organisation: str, requests: Iterable[str], now: float) -> None:
         """Renew slots, also those that another entry gave out.
 
         :param organisation: the organisation.
--- a/src/daleroad/placement.py
+++ b/src/daleroad/ranking.py
@@ -13,7 +13,7 @@
 """Lower limit of that bound, so that a small load never counts against the preferred upstream."""
 
 
-def rank_candidates(
+def rank_upstreams(
     upstreams: Iterable[Upstream],
     prefix: str,
     get_load: Callable[[str], float],
--- a/src/daleroad/ratelimits.py
+++ b/src/daleroad/ratelimits.py
@@ -37,7 +37,7 @@
     _reported_at: float = float("-inf")
     _was_advertised: bool = False
 
-    def note(self, limit: RateLimit, now: float) -> bool:
+    def apply_report(self, limit: RateLimit, now: float) -> bool:
         """Take in a report, unless a newer one is known; return whether it changes the limit.
 
         :param limit: the report.
@@ -54,7 +54,7 @@
         self._was_advertised = True
         return True
 
-    def tell(self, now: float) -> RateLimit | None:
+    def make_report(self, now: float) -> RateLimit | None:
         """Return the limit as a report to other processes, or None if there never was one.
 
         :param now: the time.
--- a/src/daleroad/holding.py
+++ b/src/daleroad/requestholds.py
@@ -10,17 +10,17 @@
 import anyio
 
 from daleroad.codec import encode
-from daleroad.defaults import STILL_THERE_SECONDS
+from daleroad.defaults import LEASE_REMOVAL_DELAY_SECONDS
+from daleroad.dispatchguard import log_suspect
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.fingerprints import make_fingerprint
-from daleroad.guarding import log_suspicion
 from daleroad.messages import Suspicions
 from daleroad.records import Organisation, Route, State
 from daleroad.suspects import Standing, Suspicion
 
 
-class Holding:
+class RequestHolds:
     """Records crashes and successes at one entry, and refuses requests that are held.
 
     :param env: the entry's environment.
@@ -38,11 +38,11 @@
         now = anyio.current_time()
         if suspects.get_standing(fingerprint, now) is not Standing.HELD:
             return None
-        left = suspects.get_held_left(fingerprint, now)
+        left = suspects.get_hold_remaining(fingerprint, now)
         reason = "upstreams crashed while running this request"
         return Failure(FailureKind.HELD, reason, Ran.NO, round(left))
 
-    def note_lost(
+    def record_lost(
         self, fingerprint: str, organisation: Organisation, route: Route, upstream: str
     ) -> None:
         """Record that an upstream was lost while it may have been running a request.
@@ -64,11 +64,11 @@
             return
         standing = self._env.suspects.get_standing(fingerprint, now)
         if standing is not Standing.CLEAR:
-            log_suspicion(self._env.suspects.get(fingerprint, now), standing)
+            log_suspect(self._env.suspects.get(fingerprint, now), standing)
         self._env.spawn(self._broadcast, [report])
         self._env.spawn(self._check_alive, upstream)
 
-    def note_whole(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Record that a request had a complete response.
 
         :param fingerprint: the request.
@@ -77,7 +77,7 @@
         if report is not None:
             self._env.spawn(self._broadcast, [report])
 
-    def take(self, told: Suspicions) -> None:
+    def merge_reports(self, told: Suspicions) -> None:
         """Merge the reports of another entry.
 
         :param told: the reports.
@@ -85,14 +85,14 @@
         now = anyio.current_time()
         for report in told.suspicions:
             self._env.suspects.merge(report, now)
-            cancelled = self._env.suspects.refute(report.fingerprint, now)
+            cancelled = self._env.suspects.apply_credits(report.fingerprint, now)
             if cancelled is not None:
                 self._env.spawn(self._broadcast, [cancelled])
         self._env.suspects.prune(now)
 
     async def _check_alive(self, upstream: str) -> None:
         """Retract the crash of an upstream that is still a member after its lease has run out."""
-        await anyio.sleep(self._env.settings.upstream_lease + STILL_THERE_SECONDS)
+        await anyio.sleep(self._env.settings.upstream_lease + LEASE_REMOVAL_DELAY_SECONDS)
         if upstream not in self._env.catalog.upstreams:
             return
         reports = self._env.suspects.record_alive(upstream, anyio.current_time())
@@ -109,7 +109,7 @@
                     tasks.start_soon(env.links.call, url, body, type(None))
 
 
-def find_call_fingerprint(organisation: Organisation, route: Route, path: str, body: bytes) -> str:
+def fingerprint_call(organisation: Organisation, route: Route, path: str, body: bytes) -> str:
     """Return the fingerprint of a request to an entry.
 
     :param organisation: the organisation that sent it.
@@ -120,7 +120,7 @@
     return make_fingerprint(organisation.name, "", route.name, path.encode(), body)
 
 
-def is_whole(status: int) -> bool:
+def is_success_status(status: int) -> bool:
     """Return whether a response's status shows that its upstream survived the request.
 
     :param status: the status.
--- a/src/daleroad/runs.py
+++ b/src/daleroad/runs.py
@@ -16,7 +16,7 @@
 from daleroad.draining import Need
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
-from daleroad.fingerprints import find_fingerprint
+from daleroad.fingerprints import fingerprint_job
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState
 from daleroad.suspects import Standing
@@ -194,7 +194,7 @@
         if continuation is not None:
             failure = await self._resume_at(run, continuation.instance, continuation.source, cut_at)
         else:
-            self._gateway.chooser.note_result(run.attempt.instance, False)
+            self._gateway.selector.record_result(run.attempt.instance, False)
             failure = Failure(FailureKind.UPSTREAM_LOST, cut.reason, Ran.PARTIAL)
         while failure is not None and failure.kind is FailureKind.UPSTREAM_LOST:
             instance = self._pick_restart_instance(run)
@@ -221,9 +221,9 @@
             # client resume elsewhere at once.
             return None
         prompt = run.attempt.job.prompt
-        chooser = gateway.chooser
-        found = chooser.pick(service, run.tokens, tries.upstreams, prompt)
-        found = found or chooser.pick_limited(service, run.tokens, tries.upstreams)
+        selector = gateway.selector
+        found = selector.pick(service, run.tokens, tries.upstreams, prompt)
+        found = found or selector.pick_rate_limited(service, run.tokens, tries.upstreams)
         if found is None or not gateway.take_repeat(service.name):
             return None
         return found
@@ -243,7 +243,9 @@
             await run.stream.close()
         else:
             source = replace(source, last_event=run.last_event)
-            backup = self._gateway.chooser.pick_backup(instance, run.tokens, run.attempt.job.prompt)
+            backup = self._gateway.selector.pick_backup(
+                instance, run.tokens, run.attempt.job.prompt
+            )
         attempt = replace(
             run.attempt,
             instance=instance,
@@ -292,9 +294,9 @@
         run.moving = False
         run.continuation = None
         run.settled = anyio.Event()
-        self._gateway.loads.add(attempt.instance, 1, run.tokens)
+        self._gateway.loads.add_load(attempt.instance, 1, run.tokens)
         if backup is not None:
-            self._gateway.loads.add(backup, 0, run.tokens)
+            self._gateway.loads.add_load(backup, 0, run.tokens)
 
     def _migrate_if_leaving(self, run: Run) -> None:
         known = self._gateway.fleet.get(run.attempt.instance.id)
@@ -304,14 +306,14 @@
             self._mover.begin(run)
 
     def _release_loads(self, run: Run) -> None:
-        self._gateway.loads.add(run.attempt.instance, -1, -run.tokens)
+        self._gateway.loads.add_load(run.attempt.instance, -1, -run.tokens)
         if run.backup is not None:
-            self._gateway.loads.add(run.backup, 0, -run.tokens)
+            self._gateway.loads.add_load(run.backup, 0, -run.tokens)
 
     def _log_end(self, run: Run) -> None:
         fingerprint = ""
         if run.outcome is StreamEnd.UPSTREAM:
-            fingerprint = find_fingerprint(run.attempt.job, run.attempt.organisation)
+            fingerprint = fingerprint_job(run.attempt.job, run.attempt.organisation)
         log_event(
             Event.STREAM_ENDED,
             request=run.attempt.job.id,
--- a/src/daleroad/picking.py
+++ b/src/daleroad/scoring.py
@@ -21,7 +21,7 @@
 ZONE_BONUS = 0.05
 """Load subtracted for an upstream in the gateway's own zone, since cross-zone traffic is billed."""
 
-COPY_ZONE_BONUS = 0.5
+MIGRATION_ZONE_BONUS = 0.5
 """Load subtracted for an engine in the same zone as the origin of a migration: half a memory."""
 
 FULL_LOAD_PREFILL_TOKENS = 8000.0
@@ -66,25 +66,25 @@
     """An upstream with its load and health.
 
     :param load: 0 when idle, 1 when full, and more when work is queued.
-    :param doubtful: whether heartbeats are missing or recent requests failed.
+    :param unhealthy: whether heartbeats are missing or recent requests failed.
     :param sole_in_zone: whether generations there could migrate only to another zone.
     :param overdue: whether the next heartbeat is overdue.
-    :param crowded: whether the request exceeds the memory that is expected to be free.
-    :param limited: whether the upstream advertises a rate limit.
+    :param lacks_memory: whether the request exceeds the memory that is expected to be free.
+    :param rate_limited: whether the upstream advertises a rate limit.
     """
 
     instance: Instance
     load: float
-    doubtful: bool = False
+    unhealthy: bool = False
     cold: bool = False
     sole_in_zone: bool = False
     overdue: bool = False
-    crowded: bool = False
-    limited: bool = False
+    lacks_memory: bool = False
+    rate_limited: bool = False
 
 
 @dataclass(frozen=True)
-class Spread:
+class PreferenceOrder:
     """One gateway's preference order of engines, derived from a hash.
 
     :param gateway: the gateway's address.
@@ -104,13 +104,13 @@
         return self.weight * xxh3_64_intdigest(f"{self.gateway} {instance_id}".encode()) / 2**64
 
 
-def make_spread(gateway: str, gateways: int) -> Spread:
+def make_preference_order(gateway: str, gateways: int) -> PreferenceOrder:
     """Return a gateway's preference order.
 
     :param gateway: the gateway's address.
     :param gateways: number of gateways that pick by delayed loads.
     """
-    return Spread(
+    return PreferenceOrder(
         gateway, min(MAX_PREFERENCE_WEIGHT, PREFERENCE_WEIGHT_PER_GATEWAY * (gateways - 1))
     )
 
@@ -120,32 +120,32 @@
     zone: str,
     random: Random,
     zone_bonus: float = ZONE_BONUS,
-    spread: Spread = Spread(),
+    preference: PreferenceOrder = PreferenceOrder(),
 ) -> Candidate | None:
     """Return the candidate with the lowest score, or nothing if there are no candidates.
 
-    Doubtful candidates are used only when all are, and then crowded ones only when no other is
-    left: an engine short of memory preempts a generation and has to prefill it again.
+    Unhealthy candidates are used only when all are, and then ones that lack memory only when no
+    other is left: an engine short of memory preempts a generation and has to prefill it again.
 
     :param candidates: all that may serve the request.
     :param zone: the availability zone to prefer.
     :param random: source of noise.
     :param zone_bonus: load subtracted for upstreams in that availability zone.
-    :param spread: the gateway's preference order; penalties are scaled up with its weight.
+    :param preference: the gateway's preference order; penalties are scaled up with its weight.
     """
-    scale = 1 + spread.weight
+    scale = 1 + preference.weight
     best: Candidate | None = None
     best_rank = (True, True, 0.0)
     for candidate in candidates:
         score = candidate.load + random.uniform(0, MAX_LOAD_NOISE)
         score -= zone_bonus * (candidate.instance.zone == zone)
-        score += spread.get_penalty(candidate.instance.id)
+        score += preference.get_penalty(candidate.instance.id)
         score += scale * COLD_PENALTY * candidate.cold + (
             scale * SOLE_IN_ZONE_PENALTY * candidate.sole_in_zone
         )
         score += scale * OVERDUE_PENALTY * candidate.overdue
-        score += scale * LIMITED_PENALTY * candidate.limited
-        rank = (candidate.doubtful, candidate.crowded, score)
+        score += scale * LIMITED_PENALTY * candidate.rate_limited
+        rank = (candidate.unhealthy, candidate.lacks_memory, score)
         if best is None or rank < best_rank:
             best, best_rank = candidate, rank
     return best
@@ -156,14 +156,14 @@
 ) -> list[Candidate]:
     """Return the candidates that a gateway should compare: all of them, or a random sample.
 
-    Doubtful candidates are left out unless all are doubtful.
+    Unhealthy candidates are left out unless all are unhealthy.
 
     :param candidates: all that may serve the request.
     :param gateways: number of gateways that pick by the same delayed loads.
     :param random: source of the sample.
     """
     listed = list(candidates)
-    healthy = [candidate for candidate in listed if not candidate.doubtful]
+    healthy = [candidate for candidate in listed if not candidate.unhealthy]
     pool = healthy or listed
     size = max(MIN_SAMPLE_SIZE, round(len(pool) * MAX_FULL_COMPARISON_GATEWAYS / max(1, gateways)))
     return pool if size >= len(pool) else random.sample(pool, size)
--- a/src/daleroad/choosing.py
+++ b/src/daleroad/selection.py
@@ -6,19 +6,19 @@
 
 import anyio
 
-from daleroad.candidates import Judge
-from daleroad.defaults import BACKUP_ROOM, BACKUP_WORTH_SECONDS
+from daleroad.candidates import CandidateEvaluator
+from daleroad.defaults import MAX_BACKUP_LOAD, MIN_BACKUP_SECONDS
 from daleroad.dispatch import Attempt, Prompt
+from daleroad.dispatchguard import Guard
 from daleroad.fleet import Fleet
-from daleroad.guarding import Guard
+from daleroad.grantclient import GrantClient, list_limit_notices
 from daleroad.health import Ejector
 from daleroad.instances import Instance
-from daleroad.limitedsends import LimitedSends, list_limits
 from daleroad.loads import GatewayLoads
 from daleroad.notices import PlaceAnswer, PlaceRequest
-from daleroad.picking import Candidate, make_spread, pick_upstream, sample_candidates
 from daleroad.routing import ServiceRule
-from daleroad.unreached import Unreached
+from daleroad.scoring import Candidate, make_preference_order, pick_upstream, sample_candidates
+from daleroad.unreachable import UnreachableUpstreams
 
 PlacementCall = Callable[[PlaceRequest], Awaitable[PlaceAnswer | None]]
 """Asks the placer, which runs in another process, for an upstream; returns nothing if there is no
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Crowded:
+class InsufficientMemory:
     """Returned instead of an engine when no engine has enough free memory for the prompt now."""
 
 
@@ -40,8 +40,8 @@
     :param retry_ratio: retries to a service per request, over all gateways.
     :param retry_slack: additional retries per window, over all gateways.
     :param retry_window: length of that window.
-    :param outdated_after: time without news from a coordinator after which the gateway refuses new
-        work; nothing if it may go on with its last known state.
+    :param coordinator_timeout: time without news from a coordinator after which the gateway refuses
+        new work; nothing if it may go on with its last known state.
     """
 
     address: str
@@ -52,10 +52,10 @@
     retry_ratio: float
     retry_slack: float
     retry_window: float
-    outdated_after: float | None = None
+    coordinator_timeout: float | None = None
 
 
-class Chooser:
+class UpstreamSelector:
     """Selects upstreams for one gateway.
 
     :param options: the gateway's startup options.
@@ -65,7 +65,7 @@
     :param random: source of noise and samples.
     :param get_service: returns a service of the current configuration.
     :ivar gateways: number of live gateways, including this one.
-    :ivar ask_place: asks the central placer; nothing where there is none.
+    :ivar request_placement: asks the central placer; nothing where there is none.
     """
 
     def __init__(
@@ -78,10 +78,10 @@
         get_service: Callable[[str], ServiceRule | None],
     ) -> None:
         self.gateways = 1
-        self.ask_place: PlacementCall | None = None
+        self.request_placement: PlacementCall | None = None
         self.ejector = Ejector()
-        self._limited_sends = LimitedSends(options.address, fleet, guard)
-        self._unreached = Unreached(fleet)
+        self._limited_sends = GrantClient(options.address, fleet, guard)
+        self._unreached = UnreachableUpstreams(fleet)
         self._options = options
         self._fleet = fleet
         self._guard = guard
@@ -111,14 +111,14 @@
         candidates = self.list_candidates(service, tokens, excluded)
         zone = self._options.zone
         if service.engine is not None and prompt is not None and prompt.ends_soon():
-            spread = make_spread(self._options.address, self.gateways)
-            picked = pick_upstream(candidates, zone, self._random, spread=spread)
+            spread = make_preference_order(self._options.address, self.gateways)
+            picked = pick_upstream(candidates, zone, self._random, preference=spread)
         else:
             sample = sample_candidates(candidates, self.gateways, self._random)
             picked = pick_upstream(sample, zone, self._random)
         return picked.instance if picked else None
 
-    def pick_quiet(
+    def pick_least_busy(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Instance | None:
         """Return the healthy upstream with the fewest requests, if there is a healthy one.
@@ -129,7 +129,7 @@
         :param tokens: tokens of memory that the request may use.
         :param excluded: instances not to use.
         """
-        healthy = (c for c in self.list_candidates(service, tokens, excluded) if not c.doubtful)
+        healthy = (c for c in self.list_candidates(service, tokens, excluded) if not c.unhealthy)
         picked = min(healthy, key=self._rank_by_work, default=None)
         return picked.instance if picked else None
 
@@ -143,7 +143,7 @@
         excluded: Collection[str],
         prompt: Prompt | None = None,
         may_wait: bool = False,
-    ) -> Instance | Crowded | None:
+    ) -> Instance | InsufficientMemory | None:
         """Return the upstream that a request should go to, if there is one.
 
         Asks the central placer where one should place the request, and picks from local state if
@@ -153,25 +153,26 @@
         :param tokens: tokens of memory that the request may use.
         :param excluded: instances not to use.
         :param prompt: the request's prompt, if it has one.
-        :param may_wait: whether to return ``Crowded`` rather than an engine that lacks memory.
+        :param may_wait: whether to return ``InsufficientMemory`` rather than an engine that lacks
+            memory.
         """
         asked_at = anyio.current_time()
         answer = None
-        if self.ask_place is not None and self._needs_placer(service, prompt):
+        if self.request_placement is not None and self._needs_placer(service, prompt):
             request = self._make_place_request(service, tokens, prompt, excluded, may_wait)
-            answer = await self.ask_place(request)
+            answer = await self.request_placement(request)
         if answer is None:
             picked = self.pick(service, tokens, excluded, prompt)
             return picked or self._pick_within_share(service, tokens, excluded)
         if answer.crowded:
-            return Crowded()
-        self._limited_sends.keep_grant(answer, asked_at)
+            return InsufficientMemory()
+        self._limited_sends.store_grant(answer, asked_at)
         placed = self._find_usable(answer.instance, excluded)
         return placed or self.pick(service, tokens, excluded, prompt)
 
     def _needs_placer(self, service: ServiceRule, prompt: Prompt | None) -> bool:
         """Return whether the central placer should place a request."""
-        if self._limited_sends.are_among(service.name):
+        if self._limited_sends.has_limited_upstreams(service.name):
             return True
         if service.engine is None or prompt is None:
             return False
@@ -187,7 +188,7 @@
         only: str = "",
     ) -> PlaceRequest:
         instances = self._fleet.list_ready(service.name)
-        resting = (instance.id for instance in instances if self._guard.is_resting(instance))
+        resting = (instance.id for instance in instances if self._guard.is_backing_off(instance))
         ready = [instance.id for instance in instances]
         options = self._options
         return PlaceRequest(
@@ -200,7 +201,7 @@
             tuple(filter(self._is_failing, ready)),
             tuple(filter(self._is_unreachable, ready)),
             may_wait,
-            tuple(list_limits(self._fleet, ready, anyio.current_time())),
+            tuple(list_limit_notices(self._fleet, ready, anyio.current_time())),
             only,
         )
 
@@ -208,11 +209,11 @@
         """Return the upstream that the placer named, if it may be used."""
         # It may have left during the call, or before it without the placer's knowledge.
         instance = self._fleet.get(instance_id)
-        if instance is None or instance_id in excluded or self._guard.is_resting(instance):
+        if instance is None or instance_id in excluded or self._guard.is_backing_off(instance):
             return None
         return instance if instance in self._fleet.list_ready(instance.service) else None
 
-    async def ask_grant(self, attempt: Attempt) -> bool:
+    async def request_grant(self, attempt: Attempt) -> bool:
         """Return whether a request may be sent to the upstream that was chosen for it.
 
         Asks the placer, or counts against the gateway's own share if there is no answer.
@@ -224,22 +225,25 @@
         if service is None:
             return False
         answer = None
-        if self.ask_place is not None:
-            answer = await self.ask_place(
+        if self.request_placement is not None:
+            answer = await self.request_placement(
                 self._make_place_request(service, 0, None, only=instance.id)
             )
         if answer is None:
-            return self._limited_sends.take_share(instance, self.gateways)
+            return self._limited_sends.try_acquire_fallback(instance, self.gateways)
         return answer.granted and answer.instance == instance.id
 
     def _pick_within_share(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Instance | None:
         """Return a rate-limited upstream of which this gateway has a share left, if any."""
-        limited = (c.instance for c in self.list_limited(service, tokens, excluded))
-        return next((i for i in limited if self._limited_sends.grant_share(i, self.gateways)), None)
+        limited = (c.instance for c in self.list_rate_limited(service, tokens, excluded))
+        return next(
+            (i for i in limited if self._limited_sends.try_store_fallback_grant(i, self.gateways)),
+            None,
+        )
 
-    def pick_limited(
+    def pick_rate_limited(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Instance | None:
         """Return an upstream that announced a rate limit, if any; sending there needs a grant.
@@ -248,7 +252,7 @@
         :param tokens: tokens of memory that the request may use.
         :param excluded: instances not to use.
         """
-        candidates = self.list_limited(service, tokens, excluded)
+        candidates = self.list_rate_limited(service, tokens, excluded)
         picked = pick_upstream(candidates, self._options.zone, self._random)
         return picked.instance if picked else None
 
@@ -274,10 +278,10 @@
         service = self._get_service(instance.service)
         if service is None or service.engine is None or not service.engine.backups:
             return None
-        if prompt is None or prompt.guess_seconds() < BACKUP_WORTH_SECONDS:
+        if prompt is None or prompt.guess_seconds() < MIN_BACKUP_SECONDS:
             return None
         candidates = self.list_candidates(service, tokens, {instance.id})
-        spare = (c for c in candidates if c.load <= BACKUP_ROOM and not c.doubtful)
+        spare = (c for c in candidates if c.load <= MAX_BACKUP_LOAD and not c.unhealthy)
         picked = pick_upstream(spare, instance.zone, self._random)
         return picked.instance if picked else None
 
@@ -287,16 +291,16 @@
 
     def _is_unreachable(self, instance_id: str) -> bool:
         now = anyio.current_time()
-        return self._unreached.is_out_of_reach(instance_id, self._options.zone, now)
+        return self._unreached.is_unreachable(instance_id, self._options.zone, now)
 
-    def note_unreached(self, instance: Instance) -> None:
+    def record_connect_failure(self, instance: Instance) -> None:
         """Record a failed connection attempt to an upstream.
 
         :param instance: the upstream.
         """
         self._unreached.prune()
-        self._unreached.note(instance.id, self._options.zone, anyio.current_time())
-        self.note_result(instance, False)
+        self._unreached.record_failure(instance.id, self._options.zone, anyio.current_time())
+        self.record_result(instance, False)
 
     def list_candidates(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
@@ -308,10 +312,10 @@
         :param excluded: instances not to use.
         """
         for candidate in self._list_all(service, tokens, excluded):
-            if not self._guard.is_limited(candidate.instance):
+            if not self._guard.needs_grant(candidate.instance):
                 yield candidate
 
-    def list_limited(
+    def list_rate_limited(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Iterator[Candidate]:
         """Yield the upstreams of a service that announced a rate limit.
@@ -323,14 +327,14 @@
         :param excluded: instances not to use.
         """
         for candidate in self._list_all(service, tokens, excluded):
-            if candidate.limited and not self._guard.is_fragile(candidate.instance):
+            if candidate.rate_limited and not self._guard.is_cold_limited(candidate.instance):
                 yield candidate
 
     def _list_all(
         self, service: ServiceRule, tokens: int, excluded: Container[str]
     ) -> Iterator[Candidate]:
         """Yield the upstreams that accept requests from this gateway, limited ones included."""
-        judge = Judge(
+        judge = CandidateEvaluator(
             self._fleet,
             self._options.heartbeat,
             self._loads.get_total,
@@ -338,9 +342,9 @@
             self._guard.zones.zones,
         )
         candidates = judge.list_candidates(service, tokens, excluded, anyio.current_time())
-        return (c for c in candidates if not self._guard.is_resting(c.instance))
+        return (c for c in candidates if not self._guard.is_backing_off(c.instance))
 
-    def note_result(self, instance: Instance, ok: bool) -> None:
+    def record_result(self, instance: Instance, ok: bool) -> None:
         """Record the result of a request for the ejection of failing upstreams.
 
         :param instance: the upstream.
--- a/src/daleroad/services.py
+++ b/src/daleroad/services.py
@@ -18,10 +18,10 @@
 from daleroad.ending import make_leaving
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind, Ran
-from daleroad.holding import Holding, find_call_fingerprint, is_whole
 from daleroad.jobs import get_key, identify, parse_deadline
-from daleroad.placement import rank_candidates
+from daleroad.ranking import rank_upstreams
 from daleroad.records import Organisation, Route, Upstream
+from daleroad.requestholds import RequestHolds, fingerprint_call, is_success_status
 from daleroad.retries import get_backoff
 from daleroad.security import make_generation
 from daleroad.serving import Answer, Request, Response
@@ -46,7 +46,7 @@
     def find_fingerprint(self) -> str:
         """Return the fingerprint, which is the same when the request is sent again."""
         path = f"{self.request.method} {self.rest}?{self.request.query}"
-        return find_call_fingerprint(self.organisation, self.route, path, self.request.body)
+        return fingerprint_call(self.organisation, self.route, path, self.request.body)
 
 
 class PlainCalls:
@@ -56,7 +56,7 @@
     :param holding: decides which suspected poison requests are held.
     """
 
-    def __init__(self, env: Environment, holding: Holding) -> None:
+    def __init__(self, env: Environment, holding: RequestHolds) -> None:
         self._env = env
         self._holding = holding
         self._claims = Claims(env)
@@ -173,7 +173,7 @@
         def get_load(name: str) -> float:
             return env.loads.get(name, 0.0)
 
-        ranked = rank_candidates(healthy, "", get_load, env.random)
+        ranked = rank_upstreams(healthy, "", get_load, env.random)
         return ranked[attempt % len(ranked)] if ranked else None
 
     async def _send_unless_held(
@@ -186,11 +186,11 @@
             return held
         answer = await self._send(call.request, upstream, call.rest, deadline)
         if isinstance(answer, Response):
-            if is_whole(answer.status):
-                self._holding.note_whole(fingerprint)
+            if is_success_status(answer.status):
+                self._holding.record_success(fingerprint)
         elif answer.kind is FailureKind.UPSTREAM_LOST and answer.ran is not Ran.NO:
             name = upstream.name
-            self._holding.note_lost(fingerprint, call.organisation, call.route, name)
+            self._holding.record_lost(fingerprint, call.organisation, call.route, name)
         return answer
 
     async def _send(
--- a/src/daleroad/settings.py
+++ b/src/daleroad/settings.py
@@ -78,7 +78,7 @@
     on_lost_control: OnLostControl = OnLostControl.REFUSE
     body_bytes: int = defaults.BODY_BYTES
     requests_most: int = defaults.REQUESTS_MOST
-    queue_most: int = defaults.QUEUE_MOST
+    queue_most: int = defaults.MAX_QUEUED_REQUESTS
     load_rate: float = defaults.LOAD_RATE
     load_burst: float = defaults.LOAD_BURST
     stall: float = defaults.STALL_SECONDS
@@ -272,7 +272,7 @@
         requests_most=reader.get_count("limits", "requests_most", defaults.REQUESTS_MOST),
         load_rate=reader.get_number("limits", "load_rate", defaults.LOAD_RATE),
         load_burst=reader.get_number("limits", "load_burst", defaults.LOAD_BURST),
-        queue_most=reader.get_count("limits", "queue_most", defaults.QUEUE_MOST),
+        queue_most=reader.get_count("limits", "queue_most", defaults.MAX_QUEUED_REQUESTS),
         stall=reader.get_number("limits", "stall", defaults.STALL_SECONDS),
         stop=reader.get_number("limits", "stop", defaults.STOP_SECONDS),
         tls=Tls(
--- a/src/daleroad/sharedsuspects.py
+++ b/src/daleroad/sharedsuspects.py
@@ -39,21 +39,21 @@
         self._last_turn_at = float("inf")
         self._stalled_at = float("-inf")
 
-    def note(self, suspicions: Iterable[Suspicion], now: float) -> None:
+    def merge_reports(self, suspicions: Iterable[Suspicion], now: float) -> None:
         """Merge reports from other processes.
 
         :param suspicions: the reports.
         :param now: the time.
         """
-        before = self.suspects.marked_revision
+        before = self.suspects.flagged_revision
         for report in suspicions:
             if self.suspects.merge(report, now):
                 self._unconfirmed.update(dict.fromkeys(report.crashes, now - report.age))
         # A single crash adds every request that ran there; only flagged ones concern the gateways.
-        if self.suspects.marked_revision != before:
+        if self.suspects.flagged_revision != before:
             self._wake()
 
-    def turn(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Prune old suspects and retract crashes of live instances; called each control-loop turn.
 
         :param now: the time.
@@ -103,7 +103,7 @@
         self._wake()
         return None
 
-    def give_trial(self, fingerprint: str) -> bool:
+    def grant_trial(self, fingerprint: str) -> bool:
         """Give the caller the trial of a request; return whether it was free and the hold is over.
 
         :param fingerprint: the request.
--- a/src/daleroad/stewardship.py
+++ b/src/daleroad/stewardship.py
@@ -5,13 +5,13 @@
 import anyio
 
 from daleroad.admission import (
-    Admission,
+    AdmissionController,
+    Admitted,
     Decision,
-    Granted,
-    Load,
-    PeakMemory,
+    PeakMemoryPolicy,
     Queued,
     Refused,
+    UpstreamReport,
 )
 from daleroad.catalog import DropUpstream, SetUpstream
 from daleroad.codec import encode
@@ -46,7 +46,7 @@
     """
 
     upstream: Upstream
-    admission: Admission
+    admission: AdmissionController
     last_heard_at: float
     ready_at: float
     waiters: dict[str, "_PermitWaiter"] = field(default_factory=dict)
@@ -56,7 +56,7 @@
 @dataclass
 class _PermitWaiter:
     done: anyio.Event = field(default_factory=anyio.Event)
-    decision: Granted | Refused | None = None
+    decision: Admitted | Refused | None = None
 
 
 class Stewardship:
@@ -81,7 +81,7 @@
                 self._process_queue(managed)
                 if now > managed.last_heard_at + self._env.settings.upstream_lease:
                     self._remove(managed)
-            waiting = sum(managed.admission.count_waiting() for managed in self._managed.values())
+            waiting = sum(managed.admission.count_queued() for managed in self._managed.values())
             self._env.metrics.waiting.set(waiting)
 
     # Permits.
@@ -143,7 +143,7 @@
 
     async def _wait_for_decision(
         self, managed: _ManagedUpstream, generation: str
-    ) -> Granted | Refused:
+    ) -> Admitted | Refused:
         waiter = managed.waiters.setdefault(generation, _PermitWaiter())
         try:
             await waiter.done.wait()
@@ -156,12 +156,12 @@
 
     def _make_answer(self, managed: _ManagedUpstream, decision: Decision) -> PermitAnswer | Failure:
         match decision:
-            case Granted():
+            case Admitted():
                 return PermitAnswer(managed.admission.get_load())
             case Refused(_, failure):
                 return failure
         return Failure(
-            FailureKind.OVERLOADED, "the work is still queued", retry_after=decision.wait
+            FailureKind.OVERLOADED, "the work is still queued", retry_after=decision.wait_seconds
         )
 
     def end_locally(self, end: PermitEnd) -> None:
@@ -200,17 +200,17 @@
             managed.admission.restore(work, produced, now)
 
     def _process_queue(self, managed: _ManagedUpstream) -> None:
-        for decision in managed.admission.advance(anyio.current_time()):
+        for decision in managed.admission.process_queues(anyio.current_time()):
             self._deliver_decision(managed, decision)
         load = managed.admission.get_load()
         self._env.loads[managed.upstream.name] = load
         self._env.metrics.promised.labels(managed.upstream.name).set(load)
 
-    def _deliver_decision(self, managed: _ManagedUpstream, decision: Granted | Refused) -> None:
+    def _deliver_decision(self, managed: _ManagedUpstream, decision: Admitted | Refused) -> None:
         waiter = managed.waiters.get(decision.work.generation)
         if waiter is None:
             # Nobody waits for the decision any more, so a permit is released at once.
-            if isinstance(decision, Granted):
+            if isinstance(decision, Admitted):
                 managed.admission.finish(decision.work.generation, 0, ok=False)
             return
         waiter.decision = decision
@@ -238,7 +238,9 @@
             self._record_upstream(upstream.name, upstream)
         return steward.address
 
-    def tell(self, name: str, load: Load, draining: bool, left: bool, models: list[str]) -> bool:
+    def tell(
+        self, name: str, load: UpstreamReport, draining: bool, left: bool, models: list[str]
+    ) -> bool:
         """Process an upstream's report; return whether this entry is its steward.
 
         :param name: the upstream.
@@ -296,11 +298,11 @@
         settings = self._env.settings
         managed = self._managed.get(upstream.name)
         if managed is None:
-            admission = Admission(
+            admission = AdmissionController(
                 upstream.capacity,
                 upstream.slots,
                 self._env.lengths,
-                PeakMemory(),
+                PeakMemoryPolicy(),
                 settings.queue_most,
             )
             # A former steward may admit work until its lease expires.
--- a/src/daleroad/suspectfile.py
+++ b/src/daleroad/suspectfile.py
@@ -18,7 +18,7 @@
 _NAME = "suspects.json"
 
 
-class SuspectKeeper:
+class SuspectFile:
     """Writes suspects to a file and reads them back after a restart.
 
     :param folder: the folder of the file.
--- a/src/daleroad/suspectmodel.py
+++ b/src/daleroad/suspectmodel.py
@@ -18,7 +18,7 @@
 from typing import Protocol
 
 from daleroad.health import Evidence, Sequential
-from daleroad.suspects import CRASHES_HELD, Standing, Suspects
+from daleroad.suspects import MIN_CRASHES_HELD, Standing, Suspects
 
 ENGINES = 7
 RESTART_SECONDS = 3.0
@@ -306,7 +306,7 @@
         "plain count of 2": CrashThreshold(2),
         "plain count of 3": CrashThreshold(3),
         "sequential test": SequentialTest(),
-        f"in use ({CRASHES_HELD}, retracted)": CurrentRule(),
+        f"in use ({MIN_CRASHES_HELD}, retracted)": CurrentRule(),
     }
 
 
--- a/src/daleroad/suspects.py
+++ b/src/daleroad/suspects.py
@@ -7,7 +7,7 @@
 - A poison request never has a complete response. Each complete response cancels one crash that is
   recorded already, or else becomes a credit, which cancels one recorded soon after.
 - An instance that is heard from after its supposed crash is alive, so that crash is retracted.
-- A request with CRASHES_HELD crashes or more and no known complete response explains its crashes:
+- A request with MIN_CRASHES_HELD crashes or more and no known complete response explains its crashes:
   they are not counted against requests that had a complete response or have fewer crashes.
 
 Processes exchange reports of crashes by instance, of those that were retracted, and of whether
@@ -27,29 +27,29 @@
 MIN_CRASHES_LAST_TRY = 2
 """Counted crashes from which on a request is on its last try, see :class:`Standing`."""
 
-CRASHES_HELD = 3
+MIN_CRASHES_HELD = 3
 """Counted crashes from which on a request is held: it reaches no upstream. With two, a request that
 merely was running during two unrelated crashes would be held."""
 
 HOLD_BACKOFF_SECONDS = (300.0, 3_600.0, 86_400.0)
-"""Time since its last crash after which a held request may be tried again: with CRASHES_HELD
+"""Time since its last crash after which a held request may be tried again: with MIN_CRASHES_HELD
 counted crashes, with one more, and with any higher number. If the trial crashes an upstream, that
 is a further crash; if it has a complete response, that cancels one."""
 
 SUCCEEDED_HOLD_SECONDS = 10.0
-"""The same time for a request that had a complete response, with CRASHES_HELD counted crashes;
+"""The same time for a request that had a complete response, with MIN_CRASHES_HELD counted crashes;
 doubled for each further one, up to the first of HOLD_BACKOFF_SECONDS. It is shorter since a request
 that crashes every upstream never has a complete response."""
 
 SUSPECT_RETENTION_SECONDS = 600.0
-"""Time since its last crash after which a request with fewer than CRASHES_HELD counted crashes is
+"""Time since its last crash after which a request with fewer than MIN_CRASHES_HELD counted crashes is
 forgotten."""
 
 HELD_RETENTION_SECONDS = 2 * HOLD_BACKOFF_SECONDS[-1]
-"""Time since its last crash after which a request with CRASHES_HELD counted crashes or more is
+"""Time since its last crash after which a request with MIN_CRASHES_HELD counted crashes or more is
 forgotten, whether it is held or may have a trial."""
 
-TRIAL_SECONDS = 10.0
+TRIAL_INTERVAL_SECONDS = 10.0
 """Minimum time between two trials of one request."""
 
 MAX_SUSPECTS = 2048
@@ -83,7 +83,7 @@
 
     CLEAR = "clear"
     """It may run anywhere."""
-    LAST = "last try"
+    LAST_TRY = "last try"
     """One more counted crash, and it is held. Until then its tries aren't counted."""
     TRIAL = "trial"
     """Its hold has expired. It may be tried; a gateway must claim the trial (:class:`Trials`)."""
@@ -165,12 +165,12 @@
     are retracted, so that those who heard of it hear of the retraction.
 
     :ivar revision: grows with each change that a report makes here.
-    :ivar marked_revision: the revision of the last change to a flagged request.
+    :ivar flagged_revision: the revision of the last change to a flagged request.
     """
 
     def __init__(self) -> None:
         self.revision = 0
-        self.marked_revision = 0
+        self.flagged_revision = 0
         self._known: dict[str, _Suspect] = {}
         self._counts: dict[str, int] = {}
         self._credits: OrderedDict[str, _Credits] = OrderedDict()
@@ -209,7 +209,7 @@
         first = next(iter(suspect.crashes))
         return self._retract(fingerprint, suspect, [first], now, succeeded=True)
 
-    def refute(self, fingerprint: str, now: float) -> Suspicion | None:
+    def apply_credits(self, fingerprint: str, now: float) -> Suspicion | None:
         """Cancel a request's crashes with its credits here; return a report for others, if any.
 
         Called after reports of other processes were merged.
@@ -288,7 +288,7 @@
             suspect.revision = self.revision
             suspect.flagged = suspect.flagged or suspect.count_crashes() >= MIN_CRASHES_LAST_TRY
             if suspect.flagged:
-                self.marked_revision = self.revision
+                self.flagged_revision = self.revision
             self._update_counts()
         return added or retracted or newly_succeeded
 
@@ -314,13 +314,13 @@
         ]
         explained: set[str] = set()
         for _, suspect in candidates:
-            if suspect.count_crashes() >= CRASHES_HELD and not suspect.succeeded:
+            if suspect.count_crashes() >= MIN_CRASHES_HELD and not suspect.succeeded:
                 explained |= suspect.crashes.keys()
         self._counts = {}
         for fingerprint, suspect in candidates:
             # A request that may itself be poison explains crashes, but all of its own are counted:
             # two that crash the same upstreams would otherwise explain each other's away.
-            poison = suspect.count_crashes() >= CRASHES_HELD and not suspect.succeeded
+            poison = suspect.count_crashes() >= MIN_CRASHES_HELD and not suspect.succeeded
             crashes = suspect.crashes.keys()
             self._counts[fingerprint] = len(crashes if poison else crashes - explained)
 
@@ -337,11 +337,11 @@
         count = self._counts.get(fingerprint, 0)
         if count < MIN_CRASHES_LAST_TRY:
             return Standing.CLEAR
-        if count < CRASHES_HELD:
-            return Standing.LAST
-        return Standing.HELD if self.get_held_left(fingerprint, now) > 0 else Standing.TRIAL
+        if count < MIN_CRASHES_HELD:
+            return Standing.LAST_TRY
+        return Standing.HELD if self.get_hold_remaining(fingerprint, now) > 0 else Standing.TRIAL
 
-    def get_held_left(self, fingerprint: str, now: float) -> float:
+    def get_hold_remaining(self, fingerprint: str, now: float) -> float:
         """Return the seconds until the hold on a request expires; 0 if it has.
 
         Returns 0 for an unknown request. Doesn't check that a known one has enough crashes to be
@@ -353,7 +353,7 @@
         suspect = self._known.get(fingerprint)
         if suspect is None:
             return 0.0
-        further = max(0, self._counts.get(fingerprint, 0) - CRASHES_HELD)
+        further = max(0, self._counts.get(fingerprint, 0) - MIN_CRASHES_HELD)
         if suspect.succeeded:
             seconds = min(HOLD_BACKOFF_SECONDS[0], SUCCEEDED_HOLD_SECONDS * 2**further)
         else:
@@ -377,18 +377,18 @@
         return _make_report(fingerprint, suspect, now) if suspect is not None else None
 
     def list_changed(
-        self, now: float, revision: int = 0, marked: bool = False
+        self, now: float, revision: int = 0, flagged_only: bool = False
     ) -> tuple[Suspicion, ...]:
         """Return reports on the requests that changed after a revision.
 
         :param now: the time.
         :param revision: the last revision that the recipient knows.
-        :param marked: whether to return reports on flagged requests only.
+        :param flagged_only: whether to return reports on flagged requests only.
         """
         return tuple(
             _make_report(fingerprint, suspect, now)
             for fingerprint, suspect in self._known.items()
-            if suspect.revision > revision and (suspect.flagged or not marked)
+            if suspect.revision > revision and (suspect.flagged or not flagged_only)
         )
 
     def prune(self, now: float) -> None:
@@ -398,7 +398,7 @@
         """
         forgotten = False
         for fingerprint, suspect in list(self._known.items()):
-            has_hold = self._counts.get(fingerprint, 0) >= CRASHES_HELD
+            has_hold = self._counts.get(fingerprint, 0) >= MIN_CRASHES_HELD
             retention = HELD_RETENTION_SECONDS if has_hold else SUSPECT_RETENTION_SECONDS
             if now - suspect.last_crash_at > retention:
                 del self._known[fingerprint]
@@ -424,7 +424,7 @@
 
 
 class Trials:
-    """The trials of requests that were claimed in the last TRIAL_SECONDS, one for each request."""
+    """The trials of requests that were claimed in the last TRIAL_INTERVAL_SECONDS, one for each request."""
 
     def __init__(self) -> None:
         self._claimed_at: dict[str, float] = {}
@@ -435,7 +435,9 @@
         :param fingerprint: the request.
         :param now: the time.
         """
-        self._claimed_at = {f: at for f, at in self._claimed_at.items() if now - at < TRIAL_SECONDS}
+        self._claimed_at = {
+            f: at for f, at in self._claimed_at.items() if now - at < TRIAL_INTERVAL_SECONDS
+        }
         if fingerprint in self._claimed_at:
             return False
         self._claimed_at[fingerprint] = now
--- a/src/daleroad/unreached.py
+++ b/src/daleroad/unreachable.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Unreached:
+class UnreachableUpstreams:
     """When and from which availability zones connections to upstreams failed.
 
     :param fleet: the upstreams; a heartbeat after a failure shows that an upstream is alive.
@@ -27,7 +27,7 @@
     fleet: Fleet
     _failure_times: dict[str, dict[str, float]] = field(default_factory=dict)
 
-    def note(self, instance_id: str, zone: str, now: float) -> None:
+    def record_failure(self, instance_id: str, zone: str, now: float) -> None:
         """Record a failed connection.
 
         :param instance_id: the upstream.
@@ -36,7 +36,7 @@
         """
         self._failure_times.setdefault(instance_id, {})[zone] = now
 
-    def is_out_of_reach(self, instance_id: str, zone: str, now: float) -> bool:
+    def is_unreachable(self, instance_id: str, zone: str, now: float) -> bool:
         """Return whether an upstream should get nothing from an availability zone for now.
 
         Failures before the newest heartbeat don't count.
--- a/src/daleroad/watching.py
+++ b/src/daleroad/watching.py
@@ -24,11 +24,11 @@
     WATCH_SLOW_SECONDS,
     WATCHES,
 )
+from daleroad.dispatchguard import log_suspect
 from daleroad.errors import Failure
 from daleroad.evacuations import EvacuatedZones
 from daleroad.events import Event, log_event
 from daleroad.gateway import Gateway
-from daleroad.guarding import log_suspicion
 from daleroad.instances import InstanceState
 from daleroad.notices import WatchAnswer, WatchRequest
 from daleroad.patches import apply_patch
@@ -186,7 +186,7 @@
         gateway = self._gateway
         exchanges_loads = self._is_load_exchange_peer(name)
         wait = (
-            find_load_exchange_seconds(gateway.chooser.gateways)
+            find_load_exchange_seconds(gateway.selector.gateways)
             if exchanges_loads
             else WATCH_SLOW_SECONDS
         )
@@ -200,7 +200,7 @@
                 progress.epoch,
                 progress.revision,
                 version,
-                gateway.loads.list_own(),
+                gateway.loads.list_own_loads(),
                 wait,
                 gather,
                 exchanges_loads,
@@ -253,7 +253,7 @@
         gateway = self._gateway
         now = anyio.current_time()
         gateway.heard_at = max(gateway.heard_at, made_at)
-        gateway.chooser.gateways = max(1, answer.gateways)
+        gateway.selector.gateways = max(1, answer.gateways)
         if self._is_load_exchange_peer(name):
             # A coordinator that just started doesn't know all gateways yet; the leader mostly does.
             gateway.others = answer.others
@@ -272,7 +272,7 @@
         gateway.fleet.note_ages(answer.ages, made_at)
         self._apply_suspicions(answer, now)
         if answer.loads is not None:
-            gateway.loads.replace_others(answer.loads)
+            gateway.loads.set_other_loads(answer.loads)
         for instance in gateway.fleet.prune(now):
             log_event(Event.UPSTREAM_LEFT, id=instance.id, service=instance.service, why="age")
             gateway.dispatcher.forget(instance)
@@ -282,12 +282,12 @@
         for suspicion in answer.suspicions:
             before = suspects.get_standing(suspicion.fingerprint, now)
             suspects.merge(suspicion, now)
-            refuted = suspects.refute(suspicion.fingerprint, now)
+            refuted = suspects.apply_credits(suspicion.fingerprint, now)
             if refuted is not None:
                 self._gateway.tell(refuted)
             standing = suspects.get_standing(suspicion.fingerprint, now)
             if standing is not before:
-                log_suspicion(suspects.get(suspicion.fingerprint, now), standing)
+                log_suspect(suspects.get(suspicion.fingerprint, now), standing)
         suspects.prune(now)
 
     def _extract_document_text(self, answer: WatchAnswer) -> str | None:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,7 +5,6 @@
 
 import anyio
 
-from daleroad.choosing import GatewayOptions
 from daleroad.dispatch import (
     Attempt,
     Copied,
@@ -34,6 +33,7 @@
     Target,
 )
 from daleroad.runs import Runs
+from daleroad.selection import GatewayOptions
 
 ENGINE = EngineRule(24, 34_000, 0.00005, True, True)
 PROMPT = Prompt((("p", 3000),), 3000, 2000)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,13 +10,13 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from daleroad.channels import ChannelCalls
-from daleroad.choosing import GatewayOptions
-from daleroad.coldmodel import count_fullest
+from daleroad.coldmodel import count_peak_requests
 from daleroad.forwarding import Forwarder, Outcome
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
-from daleroad.placeclient import PlaceClient
+from daleroad.placerclient import PlacerClient
 from daleroad.routing import Repeat
+from daleroad.selection import GatewayOptions
 from daleroad.watching import Watcher
 from tests.fakes import make_config, make_forwarder, make_job
 from tests.test_coordinator import parse
@@ -106,7 +106,7 @@
 
     def find_fullest(self) -> int:
         """Return the most requests in a window, from gateways that it had told before."""
-        return count_fullest((at for at, _ in self._list_late(TOLD_SECONDS)), WINDOW_SECONDS)
+        return count_peak_requests((at for at, _ in self._list_late(TOLD_SECONDS)), WINDOW_SECONDS)
 
     def find_allowed(self) -> float:
         """Return how many requests the platform allows in a window."""
@@ -137,9 +137,11 @@
             calls = ChannelCalls("secret")
             watcher = Watcher(gateway, calls, parse)
             gateway.on_news = watcher.tell_now
-            gateway.chooser.ask_place = PlaceClient(gateway, calls, watcher.get_leader).ask
+            gateway.selector.request_placement = PlacerClient(
+                gateway, calls, watcher.get_leader
+            ).request_placement
             tasks.start_soon(watcher.run)
-        gateway.chooser.gateways = GATEWAYS
+        gateway.selector.gateways = GATEWAYS
         self.all.append(gateway)
         self.forwarders.append(make_forwarder(gateway))
         self._clients.append(client)
--- a/tests/test_rests.py
+++ b/tests/test_backoff.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from daleroad.backpressure import Backpressure, Rests
+from daleroad.backpressure import Backpressure, UpstreamBackoffs
 from daleroad.dispatch import Attempt, CopyFault, NotCopied, NotRun, Source, Whole
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.forwarding import Outcome
@@ -31,7 +31,7 @@
 )
 from tests.standins import Gateways, StandIn, run_upstreams, send_all, tell_alone
 from tests.test_coordinator import wait_for
-from tests.test_spreading import Sites, run_sites
+from tests.test_heldrequests import WatchedSite, run_watched_site
 
 GATEWAY_COUNT = 4
 """Number of gateways, so few that each sends several requests during the backoff."""
@@ -94,9 +94,11 @@
                 asked.append(question)
                 return PlaceAnswer("i2")
 
-            gateway.chooser.ask_place = answer_place
-            gateway.chooser.gateways = 2
-            gateway.note_backpressure(make_instance(2), Backpressure(rest=BACKOFF_SECONDS))
+            gateway.selector.request_placement = answer_place
+            gateway.selector.gateways = 2
+            gateway.note_backpressure(
+                make_instance(2), Backpressure(backoff_seconds=BACKOFF_SECONDS)
+            )
             job = make_job(anyio.current_time(), prompt=PROMPT)
             self.assertIsInstance(await make_forwarder(gateway).serve(job), Whole)
             self.assertIn("i2", asked[0].excluded)
@@ -106,7 +108,7 @@
 
     def test_upstream_is_used_again_after_backoff(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            gateway.note_backpressure(make_instance(2), Backpressure(rest=0.05))
+            gateway.note_backpressure(make_instance(2), Backpressure(backoff_seconds=0.05))
             attempt = Attempt(make_job(0.0), make_instance(2), "", 1.0)
             reply = await gateway.dispatcher.send(attempt)
             assert isinstance(reply, NotRun)
@@ -125,14 +127,14 @@
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
             before_restart = replace(make_instance(2), id="i2@1", name="i2", born=1)
             gateway.fleet.note(Sighting(before_restart, 0.0), anyio.current_time())
-            gateway.note_backpressure(before_restart, Backpressure(rest=BACKOFF_SECONDS))
+            gateway.note_backpressure(before_restart, Backpressure(backoff_seconds=BACKOFF_SECONDS))
             after_restart = replace(before_restart, id="i2@2", born=2)
             gateway.note_changes(
                 gateway.fleet.note(Sighting(after_restart, 0.0), anyio.current_time())
             )
             service = gateway.get_service("s")
             assert service is not None
-            candidates = {c.instance.id for c in gateway.chooser.list_candidates(service, 10, ())}
+            candidates = {c.instance.id for c in gateway.selector.list_candidates(service, 10, ())}
             self.assertEqual(candidates, {"i1", "i3"})
             attempt = Attempt(make_job(0.0), after_restart, "", 1.0)
             self.assertIsInstance(await gateway.dispatcher.send(attempt), NotRun)
@@ -140,18 +142,20 @@
         self.run_body(body)
 
     def test_longest_backoff_counts(self) -> None:
-        rests = Rests()
-        self.assertTrue(rests.note("i", 3.0, 10.0))
-        self.assertFalse(rests.note("i", 0.0, 10.5))
-        self.assertFalse(rests.note("i", 1.0, 11.0))
-        self.assertTrue(rests.is_resting("i", 12.9))
-        self.assertEqual((rests.count(12.9), rests.count(13.0)), (1, 0))
-        self.assertFalse(rests.is_resting("i", 13.0))
-        self.assertTrue(rests.note("i", 1.0, 14.0))
+        rests = UpstreamBackoffs()
+        self.assertTrue(rests.record("i", 3.0, 10.0))
+        self.assertFalse(rests.record("i", 0.0, 10.5))
+        self.assertFalse(rests.record("i", 1.0, 11.0))
+        self.assertTrue(rests.is_backing_off("i", 12.9))
+        self.assertEqual((rests.count_active(12.9), rests.count_active(13.0)), (1, 0))
+        self.assertFalse(rests.is_backing_off("i", 13.0))
+        self.assertTrue(rests.record("i", 1.0, 14.0))
 
     def test_no_stream_resumes_or_is_copied_during_backoff(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            gateway.note_backpressure(make_instance(2), Backpressure(rest=BACKOFF_SECONDS))
+            gateway.note_backpressure(
+                make_instance(2), Backpressure(backoff_seconds=BACKOFF_SECONDS)
+            )
             job = make_job(0.0, prompt=PROMPT)
             source = Source("10.0.0.1:1", "h", "3")
             resumed = Attempt(job, make_instance(2), "", 1.0, source=source)
@@ -166,7 +170,7 @@
             )
             service = gateway.get_service("s")
             assert service is not None
-            candidates = {c.instance.id for c in gateway.chooser.list_candidates(service, 10, ())}
+            candidates = {c.instance.id for c in gateway.selector.list_candidates(service, 10, ())}
             self.assertEqual(candidates, {"i1", "i3"})
 
         self.run_body(body)
@@ -174,7 +178,9 @@
     def test_request_is_refused_as_not_run_when_all_back_off(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
             for number in (1, 2, 3):
-                gateway.note_backpressure(make_instance(number), Backpressure(rest=BACKOFF_SECONDS))
+                gateway.note_backpressure(
+                    make_instance(number), Backpressure(backoff_seconds=BACKOFF_SECONDS)
+                )
             answer = await make_forwarder(gateway).serve(make_job(anyio.current_time()))
             assert isinstance(answer, Failure)
             self.assertEqual((answer.kind, answer.ran), (FailureKind.NO_UPSTREAM, Ran.NO))
@@ -200,14 +206,16 @@
         anyio.run(main)
 
     def test_limits_and_leaving_reach_all_gateways(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             gateways = sites.add(GATEWAY_COUNT)
             for number in (1, 2):
                 for coordinator, _, _ in sites.site.running.values():
                     sighting = Sighting(make_instance(number), 0.0)
                     coordinator.presence.fleet.note(sighting, anyio.current_time())
             await wait_for(lambda: all(g.fleet.count() == 2 for g in gateways))
-            gateways[0].note_backpressure(make_instance(1), Backpressure(limit=2.5))
+            gateways[0].note_backpressure(
+                make_instance(1), Backpressure(max_requests_per_second=2.5)
+            )
             gateways[1].note_backpressure(make_instance(2), Backpressure(leaving=True))
             await wait_for(lambda: all(g.fleet.get_rate_limit("i1") == 2.5 for g in gateways))
             await wait_for(lambda: all(is_leaving(g, "i2") for g in gateways))
@@ -216,7 +224,7 @@
             await wait_for(lambda: all(g.fleet.get_rate_limit("i1") is None for g in gateways))
             sites.end_all()
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_upstream_that_reports_leaving_gets_no_more(self) -> None:
         upstream = StandIn(0, leaving=True)
--- a/tests/test_backpressure.py
+++ b/tests/test_backpressure.py
@@ -26,12 +26,18 @@
 
     def test_each_header_is_decoded(self) -> None:
         self.assertEqual(self.decode(200), Backpressure())
-        self.assertEqual(self.decode(200, server_limit="2.4"), Backpressure(limit=2.4))
-        self.assertEqual(self.decode(500, server_limit="0"), Backpressure(limit=0.0))
+        self.assertEqual(
+            self.decode(200, server_limit="2.4"), Backpressure(max_requests_per_second=2.4)
+        )
+        self.assertEqual(
+            self.decode(500, server_limit="0"), Backpressure(max_requests_per_second=0.0)
+        )
         self.assertEqual(self.decode(200, server_leaving="1"), Backpressure(leaving=True))
         self.assertEqual(self.decode(200, server_leaving="0"), Backpressure())
-        self.assertEqual(self.decode(503, retry_after="3"), Backpressure(rest=3.0))
-        self.assertEqual(self.decode(200, **{"x-daleroad-cold-ms": "1500"}), Backpressure(cold=1.5))
+        self.assertEqual(self.decode(503, retry_after="3"), Backpressure(backoff_seconds=3.0))
+        self.assertEqual(
+            self.decode(200, **{"x-daleroad-cold-ms": "1500"}), Backpressure(cold_seconds=1.5)
+        )
 
     def test_retry_after_counts_only_with_status_503(self) -> None:
         for status in (200, 429, 500):
@@ -40,7 +46,7 @@
     def test_backoff_is_bounded(self) -> None:
         decoded = self.decode(503, retry_after="1e15")
         assert isinstance(decoded, Backpressure)
-        self.assertEqual(decoded.rest, 3600.0)
+        self.assertEqual(decoded.backoff_seconds, 3600.0)
 
     def test_invalid_numbers_are_refused(self) -> None:
         for text in ("", "many", "-1", "nan", "inf", "1e300"):
@@ -75,7 +81,7 @@
         return anyio.run(main)
 
     def test_answers_of_any_status_are_read(self) -> None:
-        limited = [Backpressure(limit=2.5)]
+        limited = [Backpressure(max_requests_per_second=2.5)]
         self.assertEqual(self.request(answer("200 OK", *ATTEMPT_HEADERS, LIMIT_HEADER)), limited)
         self.assertEqual(
             self.request(answer("500 Failed", *ATTEMPT_HEADERS, LIMIT_HEADER)), limited
@@ -86,7 +92,7 @@
         )
         self.assertEqual(self.request(answer("200 OK", LIMIT_HEADER)), limited)
         rejection = answer("503 Full", *ATTEMPT_HEADERS, NOT_RUN_HEADER, "Retry-After: 3")
-        self.assertEqual(self.request(rejection), [Backpressure(rest=3.0)])
+        self.assertEqual(self.request(rejection), [Backpressure(backoff_seconds=3.0)])
 
     def test_stream_head_is_read(self) -> None:
         head = (
@@ -102,7 +108,7 @@
             await client.report(instance)
 
         received = self.request(answer("200 OK", LIMIT_HEADER, body=b"{}"), call=report)
-        self.assertEqual(received, [Backpressure(limit=2.5)])
+        self.assertEqual(received, [Backpressure(max_requests_per_second=2.5)])
 
     def test_answer_of_another_upstream_at_the_address_is_ignored(self) -> None:
         self.assertEqual(self.request(answer("421 Other", LIMIT_HEADER, "Server-Leaving: 1")), [])
@@ -151,7 +157,7 @@
     def test_limit_of_unknown_instance_is_ignored(self) -> None:
         self.assertFalse(self.fleet.note_limit("other", RateLimit(2.0), 11.0))
         self.assertIsNone(self.fleet.get_rate_limit("other"))
-        self.assertIsNone(self.fleet.tell_limit("other", 11.0))
+        self.assertIsNone(self.fleet.make_limit_report("other", 11.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -17,7 +17,6 @@
 import anyio
 
 from daleroad.catalog import Catalog
-from daleroad.choosing import GatewayOptions
 from daleroad.clock import read_clock, read_running_clock, run_on_clock, watch_clock
 from daleroad.codec import decode
 from daleroad.defaults import CLOCK_TURN_SECONDS, LOOP_STALL_SECONDS, SHARE_SECONDS
@@ -30,6 +29,7 @@
 from daleroad.messages import FollowAnswer
 from daleroad.notices import ShareRequest, WatchAnswer, WatchRequest
 from daleroad.routing import Repeat
+from daleroad.selection import GatewayOptions
 from daleroad.suspects import Suspicion
 from daleroad.watching import Watcher
 from tests.fakes import (
@@ -119,7 +119,7 @@
 class GatewayTest(unittest.TestCase):
     def test_one_that_must_not_serve_by_an_old_configuration_refuses_at_once(self) -> None:
         async def main(clock: JumpingClock) -> None:
-            options = GatewayOptions("a", "z", "r", (), 1.0, 0.2, 30, 10.0, outdated_after=5.0)
+            options = GatewayOptions("a", "z", "r", (), 1.0, 0.2, 30, 10.0, coordinator_timeout=5.0)
             gateway = Gateway(options, FakeDispatcher(), Random(1))
             gateway.replace_config(make_config(Repeat.ONCE))
             gateway.heard_at = anyio.current_time()
@@ -137,11 +137,11 @@
             config = make_config(Repeat.ONCE)
             gateway = make_gateway(FakeDispatcher(), config, anyio.current_time())
             (service,) = config.services
-            candidates = list(gateway.chooser.list_candidates(service, 0, ()))
-            self.assertFalse(any(candidate.doubtful for candidate in candidates))
+            candidates = list(gateway.selector.list_candidates(service, 0, ()))
+            self.assertFalse(any(candidate.unhealthy for candidate in candidates))
             clock.suspend()
-            candidates = list(gateway.chooser.list_candidates(service, 0, ()))
-            self.assertTrue(all(candidate.doubtful for candidate in candidates))
+            candidates = list(gateway.selector.list_candidates(service, 0, ()))
+            self.assertTrue(all(candidate.unhealthy for candidate in candidates))
 
         run(main)
 
@@ -244,7 +244,9 @@
 class WatcherTest(unittest.TestCase):
     def test_an_answer_that_waited_is_as_old_as_it_is(self) -> None:
         async def main(clock: JumpingClock) -> None:
-            options = GatewayOptions("a", "z", "r", ("c",), 1.0, 0.2, 30, 10.0, outdated_after=5.0)
+            options = GatewayOptions(
+                "a", "z", "r", ("c",), 1.0, 0.2, 30, 10.0, coordinator_timeout=5.0
+            )
             gateway = Gateway(options, FakeDispatcher(), Random(1))
             calls = SlowCalls(clock, 0.05)
             async with anyio.create_task_group() as tasks:
--- a/tests/test_coldlimits.py
+++ b/tests/test_coldlimits.py
@@ -16,19 +16,19 @@
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.fleet import Fleet
 from daleroad.gateway import Gateway
-from daleroad.instances import Sighting
-from daleroad.loads import LoadTotals
-from daleroad.notices import PlaceAnswer, PlaceRequest
-from daleroad.placer import Placer
-from daleroad.routing import Repeat, RoutingConfig, ServiceRule
-from daleroad.sendlimits import (
+from daleroad.grantlimits import (
     GRANT_LIFETIME_SECONDS,
     LOOKBACK_SECONDS,
     MAX_LOOKBACK_SECONDS,
     ColdRule,
+    GrantLimiter,
     Grants,
-    SendLimits,
 )
+from daleroad.instances import Sighting
+from daleroad.loads import LoadTotals
+from daleroad.notices import PlaceAnswer, PlaceRequest
+from daleroad.placer import Placer
+from daleroad.routing import Repeat, RoutingConfig, ServiceRule
 from tests.fakes import (
     ENGINE,
     PROMPT,
@@ -44,7 +44,7 @@
 RULE = ColdRule(1.5, 5.0)
 RATE = 2.0
 MAX_REQUESTS = 8
-BOUND = (RULE.make_bound(RATE),)
+BOUND = (RULE.make_window_limit(RATE),)
 COLD = ServiceRule("s", "/", 100, ENGINE, RATE)
 FAST_CASES = [case for case in CASES if case.engine_rate < 100]
 """Cases that are quick to simulate."""
@@ -58,24 +58,24 @@
         self.assertEqual(RULE.compute_max_requests(RATE), MAX_REQUESTS)
 
     def test_new_leader_grants_nothing_until_earlier_grants_expire(self) -> None:
-        limits = SendLimits(RULE)
-        self.assertFalse(limits.may_get("i", BOUND, 0.0))
-        limits.begin(3, 10.0)
-        limits.begin(3, 11.0)
-        self.assertFalse(limits.may_get("i", BOUND, 10.0 + LOOKBACK_SECONDS - 0.01))
-        self.assertTrue(limits.may_get("i", BOUND, 10.0 + LOOKBACK_SECONDS))
-        limits.begin(5, 20.0)
-        self.assertFalse(limits.may_get("i", BOUND, 20.0))
+        limits = GrantLimiter(RULE)
+        self.assertFalse(limits.may_grant("i", BOUND, 0.0))
+        limits.start_term(3, 10.0)
+        limits.start_term(3, 11.0)
+        self.assertFalse(limits.may_grant("i", BOUND, 10.0 + LOOKBACK_SECONDS - 0.01))
+        self.assertTrue(limits.may_grant("i", BOUND, 10.0 + LOOKBACK_SECONDS))
+        limits.start_term(5, 20.0)
+        self.assertFalse(limits.may_grant("i", BOUND, 20.0))
 
     def test_prune_forgets_upstreams_without_recent_grants(self) -> None:
-        limits = SendLimits(RULE)
-        limits.grant("i", 10.0)
-        limits.grant("j", 10.0)
-        self.assertFalse(limits.is_full("i", BOUND, 10.0 + LOOKBACK_SECONDS))
+        limits = GrantLimiter(RULE)
+        limits.record_grant("i", 10.0)
+        limits.record_grant("j", 10.0)
+        self.assertFalse(limits.is_at_limit("i", BOUND, 10.0 + LOOKBACK_SECONDS))
         later = 10.0 + MAX_LOOKBACK_SECONDS
         limits.prune(later)
         self.assertEqual(limits._grant_times, {})
-        limits.grant("i", later)
+        limits.record_grant("i", later)
         limits.prune(later)
         self.assertEqual(list(limits._grant_times), ["i"])
 
@@ -83,11 +83,11 @@
         grants = Grants()
         grants.add("i", 1.0, 0.5)
         grants.add("i", 2.0, 0.5)
-        self.assertFalse(grants.take("j", 0.5))
-        self.assertTrue(grants.take("i", 1.5))
-        self.assertFalse(grants.take("i", 1.5))
+        self.assertFalse(grants.consume("j", 0.5))
+        self.assertTrue(grants.consume("i", 1.5))
+        self.assertFalse(grants.consume("i", 1.5))
         grants.add("i", 2.0, 1.5)
-        self.assertFalse(grants.take("i", 2.0))
+        self.assertFalse(grants.consume("i", 2.0))
 
 
 @dataclass
@@ -95,7 +95,7 @@
     """Gateways and leaders that restart, one cold engine, and delayed answers and requests."""
 
     random: Random
-    leader: SendLimits = field(default_factory=lambda: SendLimits(RULE))
+    leader: GrantLimiter = field(default_factory=lambda: GrantLimiter(RULE))
     term: int = 1
     lease_started_at: float = 0.0
     arrivals: list[float] = field(default_factory=list)
@@ -103,9 +103,9 @@
     def request_grant(self, now: float) -> None:
         """Let a gateway ask for a grant and use it after a random delay."""
         granted_at = now + self.random.choice((0.0, self.random.random() * GRANT_LIFETIME_SECONDS))
-        if granted_at < self.lease_started_at or not self.leader.may_get("i", BOUND, granted_at):
+        if granted_at < self.lease_started_at or not self.leader.may_grant("i", BOUND, granted_at):
             return
-        self.leader.grant("i", granted_at)
+        self.leader.record_grant("i", granted_at)
         if self.random.random() < 0.1:
             # The gateway restarts and loses the grant.
             return
@@ -113,15 +113,15 @@
         answered_at = granted_at + self.random.random() * GRANT_LIFETIME_SECONDS
         grants.add("i", now + GRANT_LIFETIME_SECONDS, answered_at)
         sent_at = answered_at + self.random.choice((0.0, self.random.random()))
-        if grants.take("i", sent_at):
+        if grants.consume("i", sent_at):
             self.arrivals.append(sent_at + self.random.random() * CONNECT_SECONDS)
 
     def change_leader(self, now: float) -> None:
         """Start another leader in a new term; leases don't overlap."""
         self.term += 1
         self.lease_started_at = now + GRANT_LIFETIME_SECONDS
-        self.leader = SendLimits(RULE)
-        self.leader.begin(self.term, self.lease_started_at)
+        self.leader = GrantLimiter(RULE)
+        self.leader.start_term(self.term, self.lease_started_at)
 
 
 class ColdLimitTest(unittest.TestCase):
@@ -129,7 +129,7 @@
     def test_random_interleavings_stay_within_limit(self, seed: int) -> None:
         random = Random(seed)
         site = SimulatedSite(random)
-        site.leader.begin(1, -LOOKBACK_SECONDS)
+        site.leader.start_term(1, -LOOKBACK_SECONDS)
         now = 0.0
         for _ in range(300):
             now += random.choice((0.0, random.expovariate(60.0), random.expovariate(1.0)))
@@ -192,8 +192,8 @@
         fleet = Fleet()
         for number in (1, 2):
             fleet.note(Sighting(make_instance(number), 0.0, 9.0 if number in cold else 0.0), 10.0)
-        limits = SendLimits(RULE)
-        limits.begin(1, 10.0 - term_age)
+        limits = GrantLimiter(RULE)
+        limits.start_term(1, 10.0 - term_age)
         placer = Placer(fleet, LoadTotals(9.0), 1.0, Random(1), limits)
         answers = (placer.place(PLACE_REQUEST, COLD, 10.0) for _ in range(count))
         return [answer.instance for answer in answers if answer.instance]
@@ -236,7 +236,7 @@
 
     def mark_cold(self, gateway: Gateway, *numbers: int) -> None:
         for number in numbers:
-            gateway.note_backpressure(make_instance(number), Backpressure(cold=9.0))
+            gateway.note_backpressure(make_instance(number), Backpressure(cold_seconds=9.0))
 
     def test_nothing_is_sent_without_grant(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
@@ -255,7 +255,7 @@
             self.mark_cold(gateway, 1, 3)
             service = gateway.get_service("s")
             assert service is not None
-            chosen = {gateway.chooser.pick(service, 100, (), PROMPT) for _ in range(20)}
+            chosen = {gateway.selector.pick(service, 100, (), PROMPT) for _ in range(20)}
             self.assertEqual({instance.id for instance in chosen if instance}, {"i2"})
 
         self.run_body(body)
@@ -264,8 +264,8 @@
         async def answer_place(request: PlaceRequest) -> PlaceAnswer | None:
             return answer
 
-        gateway.chooser.ask_place = answer_place
-        gateway.chooser.gateways = 2
+        gateway.selector.request_placement = answer_place
+        gateway.selector.gateways = 2
         return make_forwarder(gateway).serve
 
     def test_granted_request_is_sent_to_cold_upstream(self) -> None:
@@ -304,7 +304,7 @@
             self.mark_cold(gateway, 2)
             service = gateway.get_service("s")
             assert service is not None
-            found = gateway.chooser.list_candidates(service, 10, {"i1"})
+            found = gateway.selector.list_candidates(service, 10, {"i1"})
             self.assertEqual([candidate.instance.id for candidate in found], ["i3"])
 
         self.run_body(body)
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -14,7 +14,6 @@
 from anyio.abc import TaskGroup
 
 from daleroad.channels import ChannelCalls
-from daleroad.choosing import GatewayOptions
 from daleroad.codec import encode
 from daleroad.coordinator import Coordinator, CoordinatorOptions
 from daleroad.defaults import (
@@ -36,6 +35,7 @@
     WatchRequest,
 )
 from daleroad.routing import RoutingConfig, ServiceRule
+from daleroad.selection import GatewayOptions
 from daleroad.serving import serve_app
 from daleroad.settings import Tls
 from daleroad.watching import Watcher
@@ -353,7 +353,7 @@
             # Another coordinator reports a gateway whose load the leader doesn't know.
             leader.presence.take_share(ShareRequest(others[0], (notice,), ()))
             self.assertIsInstance(await place(leader.options.name), Failure)
-            leader.presence.loads.note(notice.address, (), anyio.current_time())
+            leader.presence.loads.set_report(notice.address, (), anyio.current_time())
             self.assertEqual(await place(leader.options.name), PlaceAnswer(INSTANCE.id))
             refusal = await place(others[0])
             assert isinstance(refusal, Failure)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,16 +12,16 @@
 from hypothesis import strategies as st
 
 from daleroad.catalog import Catalog, DropUpstream, Put, SetUpstream
-from daleroad.defaults import LENGTH_UNKNOWN
+from daleroad.defaults import DEFAULT_OUTPUT_TOKENS
 from daleroad.detection import compare_detectors
 from daleroad.directory import Directory, pick_split, pick_steward
 from daleroad.errors import FailureKind
 from daleroad.fairness import FairQueue
 from daleroad.health import Consecutive, Ejector, Evidence, Sequential
-from daleroad.lengths import Lengths, LengthWindow
+from daleroad.lengths import LengthWindow, OutputLengths
 from daleroad.location import pick_addresses
-from daleroad.placement import rank_candidates
 from daleroad.quota import Quota
+from daleroad.ranking import rank_upstreams
 from daleroad.records import EntryMember, Organisation, Split, State, Upstream
 from daleroad.retries import RetryBudget, get_backoff
 from daleroad.roster import Roster
@@ -55,21 +55,23 @@
         self.assertEqual(window.get_quantile(1.0, 0), 4)
 
     def test_default_without_history_and_route_history_for_a_new_version(self) -> None:
-        lengths = Lengths()
-        self.assertEqual(lengths.estimate_rest("r", "m", 0, 10_000, 0.5), LENGTH_UNKNOWN)
+        lengths = OutputLengths()
+        self.assertEqual(
+            lengths.estimate_remaining_tokens("r", "m", 0, 10_000, 0.5), DEFAULT_OUTPUT_TOKENS
+        )
         for _ in range(20):
             lengths.add("r", "m1", 40)
-        self.assertEqual(lengths.estimate_rest("r", "m2", 0, 10_000, 0.5), 40)
-        self.assertEqual(lengths.estimate_rest("r", "m1", 600, 10_000, 0.5), 600)
-        self.assertEqual(lengths.estimate_rest("r", "m1", 600, 700, 0.5), 100)
+        self.assertEqual(lengths.estimate_remaining_tokens("r", "m2", 0, 10_000, 0.5), 40)
+        self.assertEqual(lengths.estimate_remaining_tokens("r", "m1", 600, 10_000, 0.5), 600)
+        self.assertEqual(lengths.estimate_remaining_tokens("r", "m1", 600, 700, 0.5), 100)
 
     def test_window_adapts_to_a_change_of_output_lengths(self) -> None:
-        lengths = Lengths()
+        lengths = OutputLengths()
         for _ in range(600):
             lengths.add("r", "m", 10)
         for _ in range(512):
             lengths.add("r", "m", 900)
-        self.assertEqual(lengths.estimate_rest("r", "m", 0, 10_000, 0.1), 900)
+        self.assertEqual(lengths.estimate_remaining_tokens("r", "m", 0, 10_000, 0.1), 900)
 
 
 class FairQueueTest(unittest.TestCase):
@@ -133,18 +135,17 @@
     def test_prefix_keeps_its_upstream_until_that_is_overloaded(self) -> None:
         upstreams = make_upstreams(6)
         firsts = {
-            rank_candidates(upstreams, "prefix", lambda _: 0.2, Random(i))[0].name
-            for i in range(20)
+            rank_upstreams(upstreams, "prefix", lambda _: 0.2, Random(i))[0].name for i in range(20)
         }
         self.assertEqual(len(firsts), 1)
         (preferred,) = firsts
-        ranked = rank_candidates(upstreams, "prefix", lambda n: 0.9 * (n == preferred), Random(1))
+        ranked = rank_upstreams(upstreams, "prefix", lambda n: 0.9 * (n == preferred), Random(1))
         self.assertNotEqual(ranked[0].name, preferred)
         self.assertEqual(len({u.name for u in ranked}), 6)
 
     def test_less_loaded_of_two_is_first_without_a_prefix(self) -> None:
         upstreams = make_upstreams(2)
-        ranked = rank_candidates(upstreams, "", lambda n: float(n == "u0"), Random(1))
+        ranked = rank_upstreams(upstreams, "", lambda n: float(n == "u0"), Random(1))
         self.assertEqual(ranked[0].name, "u1")
 
 
@@ -239,27 +240,27 @@
 class QuotaTest(unittest.TestCase):
     def test_limit_is_enforced_and_released_slots_are_reused(self) -> None:
         quota = Quota()
-        self.assertIsNone(quota.take("o", "a", 2, 0.0))
-        self.assertIsNone(quota.take("o", "b", 2, 0.0))
-        self.assertIsNone(quota.take("o", "a", 2, 0.0))
-        self.assertIs(quota.take("o", "c", 2, 0.0).kind, FailureKind.LIMIT)
+        self.assertIsNone(quota.acquire("o", "a", 2, 0.0))
+        self.assertIsNone(quota.acquire("o", "b", 2, 0.0))
+        self.assertIsNone(quota.acquire("o", "a", 2, 0.0))
+        self.assertIs(quota.acquire("o", "c", 2, 0.0).kind, FailureKind.LIMIT)
         quota.release("o", "a")
-        self.assertIsNone(quota.take("o", "c", 2, 0.0))
+        self.assertIsNone(quota.acquire("o", "c", 2, 0.0))
 
     def test_slots_expire_unless_they_are_held(self) -> None:
         quota = Quota()
-        quota.take("o", "lost", 2, 0.0)
-        quota.take("o", "held", 2, 0.0)
-        quota.hold("o", ["held"], 3.0)
-        self.assertIsNone(quota.take("o", "new", 2, 4.5))
-        self.assertIsNotNone(quota.take("o", "more", 2, 4.5))
+        quota.acquire("o", "lost", 2, 0.0)
+        quota.acquire("o", "held", 2, 0.0)
+        quota.renew("o", ["held"], 3.0)
+        self.assertIsNone(quota.acquire("o", "new", 2, 4.5))
+        self.assertIsNotNone(quota.acquire("o", "more", 2, 4.5))
 
     def test_new_counter_learns_held_slots_before_it_grants_any(self) -> None:
         quota = Quota()
-        quota.note_change(10.0)
-        self.assertIsNotNone(quota.take("o", "new", 1, 10.5))
-        quota.hold("o", ["old"], 11.0)
-        self.assertIsNotNone(quota.take("o", "new", 1, 12.5))
+        quota.note_membership_change(10.0)
+        self.assertIsNotNone(quota.acquire("o", "new", 1, 10.5))
+        quota.renew("o", ["old"], 11.0)
+        self.assertIsNotNone(quota.acquire("o", "new", 1, 12.5))
 
 
 class RetryTest(unittest.TestCase):
