--- a/tests/test_guarding.py
+++ b/tests/test_dispatchguard.py
@@ -14,7 +14,7 @@
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.routing import Repeat
-from daleroad.suspects import HOLD_BACKOFF_SECONDS, TRIAL_SECONDS, Standing
+from daleroad.suspects import HOLD_BACKOFF_SECONDS, TRIAL_INTERVAL_SECONDS, Standing
 from tests.fakes import (
     WHOLE,
     FakeDispatcher,
@@ -42,7 +42,7 @@
     """Record three crashed upstreams for the request of these tests."""
     for number in (4, 5, 6):
         attempt = make_attempt(number)
-        gateway.guard.note_lost(attempt)
+        gateway.guard.record_lost(attempt)
 
 
 class CrashRecordTest(unittest.TestCase):
@@ -77,17 +77,20 @@
         self.assertEqual(len(self.pieces), 3)
 
     def test_a_stream_counts_as_a_success_at_its_end_only(self) -> None:
-        self.assertIs(self.send_and_get_standing(FakeStream(1, 2), CUT, CUT, CUT), Standing.LAST)
+        self.assertIs(
+            self.send_and_get_standing(FakeStream(1, 2), CUT, CUT, CUT), Standing.LAST_TRY
+        )
 
     def test_a_stream_without_an_event_is_no_success(self) -> None:
-        self.assertIs(self.send_and_get_standing(CUT, CUT, FakeStream(1, 0)), Standing.LAST)
+        self.assertIs(self.send_and_get_standing(CUT, CUT, FakeStream(1, 0)), Standing.LAST_TRY)
         self.assertIs(self.send_and_get_standing(CUT, CUT, FakeStream(1, 1)), Standing.CLEAR)
 
     def test_requests_that_did_not_run_or_failed_are_no_evidence(self) -> None:
         failed = Whole(500, (), b"")
-        self.assertIs(self.send_and_get_standing(CUT, CUT, NotRun("full")), Standing.LAST)
+        self.assertIs(self.send_and_get_standing(CUT, CUT, NotRun("full")), Standing.LAST_TRY)
         self.assertIs(
-            self.send_and_get_standing(CUT, CUT, failed, NotRun("gone", gone=True)), Standing.LAST
+            self.send_and_get_standing(CUT, CUT, failed, NotRun("gone", gone=True)),
+            Standing.LAST_TRY,
         )
 
     def test_a_complete_response_clears_the_request(self) -> None:
@@ -101,7 +104,9 @@
                     now = anyio.current_time()
                     gateway.fleet.note(Sighting(make_instance(2, state), 0.0), now)
 
-            self.assertIs(self.send_and_get_standing(CUT, CUT, CUT, meanwhile=leave), Standing.LAST)
+            self.assertIs(
+                self.send_and_get_standing(CUT, CUT, CUT, meanwhile=leave), Standing.LAST_TRY
+            )
 
     def test_an_upstream_that_has_already_restarted_has_crashed(self) -> None:
         def restart(gateway: Gateway, number: int) -> None:
@@ -140,12 +145,12 @@
             config = make_config(Repeat.IDEMPOTENT, attempts)
             gateway = make_gateway(dispatcher, config, anyio.current_time())
             for number in range(crashes):
-                gateway.guard.note_lost(make_attempt(4 + number))
+                gateway.guard.record_lost(make_attempt(4 + number))
             forwarder = make_forwarder(gateway)
             began = anyio.current_time()
             outcome = await forwarder.serve(make_job(began))
             self.assertEqual(anyio.current_time(), began)
-            self.assertEqual(gateway.loads.list_own(), ())
+            self.assertEqual(gateway.loads.list_own_loads(), ())
             return outcome
 
         return run(main)
@@ -169,14 +174,14 @@
             dispatcher = FakeDispatcher()
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
             noted: list[Instance] = []
-            gateway.chooser.note_result = lambda instance, ok: noted.append(instance)
-            place = gateway.chooser.place
+            gateway.selector.record_result = lambda instance, ok: noted.append(instance)
+            place = gateway.selector.place
 
             async def place_late(*args: Any) -> Instance | None:
                 await hold(gateway)
                 return await place(*args)
 
-            gateway.chooser.place = place_late
+            gateway.selector.place = place_late
             outcome = await make_forwarder(gateway).serve(make_job(anyio.current_time()))
             self.assertIs(outcome.kind, FailureKind.HELD)
             self.assertEqual((noted, dispatcher.attempts), ([], []))
@@ -188,9 +193,9 @@
             dispatcher = FakeDispatcher(WHOLE)
             gateway = make_gateway(dispatcher, make_config(Repeat.ONCE), anyio.current_time())
             for number in (4, 5):
-                gateway.guard.note_lost(make_attempt(number))
+                gateway.guard.record_lost(make_attempt(number))
             for number, count in ((1, 3), (2, 1), (3, 2)):
-                gateway.loads.add(make_instance(number), count, 0)
+                gateway.loads.add_load(make_instance(number), count, 0)
             forwarder = make_forwarder(gateway)
             self.assertEqual(await forwarder.serve(make_job(anyio.current_time())), WHOLE)
             (attempt,) = dispatcher.attempts
@@ -212,8 +217,8 @@
 
             gateway.ask_trial = ask
             forwarder = make_forwarder(gateway)
-            gateway.loads.add(make_instance(1), 1, 0)
-            gateway.loads.add(make_instance(3), 1, 0)
+            gateway.loads.add_load(make_instance(1), 1, 0)
+            gateway.loads.add_load(make_instance(3), 1, 0)
             await anyio.sleep(HOLD_BACKOFF_SECONDS[0] + 0.01)
             for number in (1, 2, 3):
                 sighting = Sighting(make_instance(number), 0.0)
@@ -237,7 +242,7 @@
             await anyio.sleep(HOLD_BACKOFF_SECONDS[0] + 0.01)
             outcome = await forwarder.serve(make_job(anyio.current_time()))
             self.assertIs(outcome.kind, FailureKind.HELD)
-            self.assertEqual(outcome.retry_after, TRIAL_SECONDS)
+            self.assertEqual(outcome.retry_after, TRIAL_INTERVAL_SECONDS)
             self.assertEqual(dispatcher.attempts, [])
 
         run(main)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -315,8 +315,8 @@
             route = replace(config.routes[0], timeout=20.0, pause=TOKEN_SECONDS)
             config = replace(config, routes=(route,))
             self.gateway = make_gateway(self.dispatcher, config, now)
-            chooser = self.gateway.chooser
-            chooser.note_result = lambda instance, ok: ok or self.failed_ids.append(instance.id)
+            selector = self.gateway.selector
+            selector.record_result = lambda instance, ok: ok or self.failed_ids.append(instance.id)
             runs = Runs(self.gateway, EngineMover(self.gateway))
             forwarder = Forwarder(self.gateway, runs, RequestMetrics(Metrics()))
             prompt = Prompt((), 3000, most) if most else None
@@ -371,7 +371,7 @@
                 assert isinstance(outcome, Failure)
                 self.assertEqual((outcome.kind, outcome.ran), (FailureKind.DRAINING, Ran.UNKNOWN))
                 self.assertAlmostEqual(self.seconds, 8.3 - LAST_ANSWER_SECONDS, delta=0.01)
-                self.assertEqual(self.gateway.loads.list_own(), ())
+                self.assertEqual(self.gateway.loads.list_own_loads(), ())
                 self.assertEqual(self.failed_ids, [])
 
     def test_stream_that_would_start_too_late_is_not_started(self) -> None:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -46,7 +46,7 @@
     make_job,
 )
 from tests.test_coordinator import Site, make_document, run_site, wait_for
-from tests.test_spreading import Sites
+from tests.test_heldrequests import WatchedSite
 
 ZONES = ("a", "b", "c")
 GATEWAYS = 71
@@ -273,7 +273,7 @@
     def test_all_gateways_go_by_an_order_soon_and_know_before_their_first_request(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             await site.get(names[0]).log.save(make_document(1))
-            sites = Sites(site)
+            sites = WatchedSite(site)
             gateways = sites.add(GATEWAYS)
             await wait_for(lambda: all(g.get_version() for g in gateways))
             started = await self.order_with_retries(site, names[1], "a")
@@ -368,8 +368,8 @@
                 put_in_zone(gateway, number, zone)
             evacuate(gateway, "a", "c")
             service = config.services[0]
-            chosen = {gateway.chooser.pick(service, 100, (), PROMPT) for _ in range(20)}
-            chosen.add(gateway.chooser.pick_quiet(service, 100, ()))
+            chosen = {gateway.selector.pick(service, 100, (), PROMPT) for _ in range(20)}
+            chosen.add(gateway.selector.pick_least_busy(service, 100, ()))
             self.assertEqual({instance.id for instance in chosen if instance}, {"i2"})
             request = PlaceRequest("g", "a", service.name, 100, 100, (), ())
             placer = Placer(gateway.fleet, LoadTotals(9.0), 1.0, Random(1))
@@ -403,13 +403,13 @@
             )
             for number, zone in ((1, "a"), (2, "b"), (3, "b")):
                 put_in_zone(gateway, number, zone)
-            gateway.chooser.gateways = 2
+            gateway.selector.gateways = 2
 
             async def choose_evacuated(request: PlaceRequest) -> PlaceAnswer:
                 evacuate(gateway, "a")
                 return PlaceAnswer("i1")
 
-            gateway.chooser.ask_place = choose_evacuated
+            gateway.selector.request_placement = choose_evacuated
             job = make_job(anyio.current_time(), prompt=PROMPT)
             answer = await make_forwarder(gateway).serve(job)
             self.assertIsInstance(answer, Whole)
@@ -429,7 +429,7 @@
             async def choose_stale(*args: Any) -> Instance:
                 return chosen.pop(0)
 
-            gateway.chooser.place = choose_stale  # type: ignore[method-assign, assignment]
+            gateway.selector.place = choose_stale  # type: ignore[method-assign, assignment]
             gateway.take_repeat = lambda service: False  # type: ignore[method-assign]
             answer = await make_forwarder(gateway).serve(make_job(anyio.current_time()))
             self.assertIsInstance(answer, Whole)
@@ -448,7 +448,7 @@
         sends = func.endswith(".send") and [ast.unparse(a) for a in node.args] == ["attempt"]
         copies = func.endswith((".copy",)) and len(node.args) == 4
         if sends or copies:
-            allowed = {"guarding.py": "self._inner"}.get(name)
+            allowed = {"dispatchguard.py": "self._inner"}.get(name)
             guarded = func.rpartition(".")[0].endswith("_gateway.dispatcher")
             own = func.rpartition(".")[0] in (allowed, "gateway.dispatcher")
             self.assertTrue(guarded or own, f"{name}: {func}")
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from daleroad.fingerprints import FINGERPRINT_HEX_DIGITS, find_fingerprint, make_fingerprint
+from daleroad.fingerprints import FINGERPRINT_HEX_DIGITS, fingerprint_job, make_fingerprint
 from tests.fakes import make_job
 
 PARTS = ("caller", "POST", "h.example", b"/a/b?c=1", b"body")
@@ -27,10 +27,10 @@
     def test_attempt_ids_and_headers_are_ignored(self) -> None:
         job = make_job(0.0)
         other = replace(job, id="another", headers=((b"x", b"y"),), received_at=9.0)
-        self.assertEqual(find_fingerprint(job, "org"), find_fingerprint(other, "org"))
+        self.assertEqual(fingerprint_job(job, "org"), fingerprint_job(other, "org"))
 
     def test_without_an_organisation_the_key_is_the_caller(self) -> None:
         job = make_job(0.0)
         keyed = replace(job, key="key")
-        self.assertNotEqual(find_fingerprint(job, ""), find_fingerprint(keyed, ""))
-        self.assertEqual(find_fingerprint(job, "org"), find_fingerprint(keyed, "org"))
+        self.assertNotEqual(fingerprint_job(job, ""), fingerprint_job(keyed, ""))
+        self.assertEqual(fingerprint_job(job, "org"), fingerprint_job(keyed, "org"))
--- a/tests/test_finishing.py
+++ b/tests/test_finishing.py
@@ -16,13 +16,13 @@
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.finishing import expect_tokens, find_latest_start
 from daleroad.generations import Generations
-from daleroad.holding import Holding
-from daleroad.lengths import Lengths
-from daleroad.limiting import Limits
+from daleroad.lengths import OutputLengths
 from daleroad.links import Links
 from daleroad.loopback import make_site
 from daleroad.messages import PermitAnswer, PermitEnd, Work
+from daleroad.organisationlimits import OrganisationLimits
 from daleroad.records import Organisation, Route, Split, Upstream
+from daleroad.requestholds import RequestHolds
 from daleroad.security import hash_token
 from daleroad.serving import Answer, Request
 from daleroad.settings import Tls
@@ -30,8 +30,8 @@
 MAX_TOKENS = 900
 
 
-def make_lengths(*seen: int) -> Lengths:
-    lengths = Lengths()
+def make_lengths(*seen: int) -> OutputLengths:
+    lengths = OutputLengths()
     for length in seen:
         lengths.add("route", "model", length)
     return lengths
@@ -113,8 +113,8 @@
         upstream = Upstream("u", "http://127.0.0.1:1", "s", "z", 1000, 8, ("m",))
         catalog.follow(3, SetUpstream(upstream))
         self.steward = FakeStewardship(before_grant)
-        limits = Limits(self.env)
-        self.generations = Generations(self.env, self.steward, limits, Holding(self.env))
+        limits = OrganisationLimits(self.env)
+        self.generations = Generations(self.env, self.steward, limits, RequestHolds(self.env))
 
     async def serve(self) -> Answer:
         body = orjson.dumps({"route": "r", "prompt": "p", "max_tokens": 100, "stream": True})
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -52,7 +52,7 @@
         dispatcher = FakeDispatcher(WHOLE)
         self.assertEqual(self.serve(dispatcher, make_config(Repeat.ONCE)), WHOLE)
         self.assertEqual(len(dispatcher.attempts), 1)
-        self.assertEqual(self.gateway.loads.list_own(), ())
+        self.assertEqual(self.gateway.loads.list_own_loads(), ())
 
     def test_lost_request_is_not_retried_unless_idempotent(self) -> None:
         for repeat in (Repeat.ONCE, Repeat.STREAM):
@@ -149,7 +149,7 @@
         assert isinstance(outcome, Failure)
         self.assertIs(outcome.kind, FailureKind.DEADLINE)
         self.assertIs(outcome.ran, Ran.UNKNOWN)
-        self.assertEqual(self.gateway.loads.list_own(), ())
+        self.assertEqual(self.gateway.loads.list_own_loads(), ())
 
     def test_request_without_configuration_fails_with_retry_after(self) -> None:
         outcome = self.serve(FakeDispatcher(), None)
--- a/tests/test_sendlimits.py
+++ b/tests/test_grantlimits.py
@@ -15,23 +15,23 @@
 from hypothesis import strategies as st
 
 from daleroad.backpressure import Backpressure
-from daleroad.coldmodel import count_fullest
+from daleroad.coldmodel import count_peak_requests
 from daleroad.dispatch import Attempt, NotRun, Source, Whole
 from daleroad.errors import Failure, Ran
 from daleroad.forwarding import Outcome
-from daleroad.instances import Sighting
-from daleroad.notices import PlaceAnswer, PlaceRequest
-from daleroad.ratelimits import MIN_LIFT_DELAY_SECONDS
-from daleroad.routing import Repeat
-from daleroad.sendlimits import (
+from daleroad.grantlimits import (
     LOOKBACK_SECONDS,
     MAX_ARRIVAL_DELAY_SECONDS,
     PROBE_INTERVAL_SECONDS,
     ColdRule,
     FallbackShare,
-    SendLimits,
-    make_limit_bounds,
+    GrantLimiter,
+    make_window_limits,
 )
+from daleroad.instances import Sighting
+from daleroad.notices import PlaceAnswer, PlaceRequest
+from daleroad.ratelimits import MIN_LIFT_DELAY_SECONDS
+from daleroad.routing import Repeat
 from tests.fakes import WHOLE, FakeDispatcher, make_config, make_gateway, make_instance, make_job
 from tests.standins import (
     GATEWAYS,
@@ -89,7 +89,7 @@
                 tasks.start_soon(send_heartbeats)
                 gateways = Gateways(tasks, site.seeds, repeat)
                 await wait_for(lambda: all(g.fleet.count() == len(LIMITS) for g in gateways.all))
-                await wait_for(lambda: all(g.chooser.gateways == GATEWAYS for g in gateways.all))
+                await wait_for(lambda: all(g.selector.gateways == GATEWAYS for g in gateways.all))
                 outcomes = await send_all(gateways)
                 await gateways.close()
                 tasks.cancel_scope.cancel()
@@ -137,41 +137,41 @@
     @given(st.integers(0, 10**9), st.sampled_from(RATES))
     def test_leader_changes_stay_within_allowed_overage(self, seed: int, rate: float) -> None:
         random = Random(seed)
-        bounds = make_limit_bounds(rate)
+        bounds = make_window_limits(rate)
         arrivals: list[float] = []
-        term, leader, now = 1, SendLimits(ColdRule()), 0.0
-        leader.begin(term, -LOOKBACK_SECONDS)
+        term, leader, now = 1, GrantLimiter(ColdRule()), 0.0
+        leader.start_term(term, -LOOKBACK_SECONDS)
         for _ in range(400):
             now += random.choice((0.0, random.expovariate(60.0), random.expovariate(3.0)))
             if random.random() < 0.01:
-                term, leader = term + 1, SendLimits(ColdRule())
-                leader.begin(term, now)
-            if leader.may_get("i", bounds, now):
-                leader.grant("i", now)
+                term, leader = term + 1, GrantLimiter(ColdRule())
+                leader.start_term(term, now)
+            if leader.may_grant("i", bounds, now):
+                leader.record_grant("i", now)
                 arrivals.append(now + random.random() * MAX_ARRIVAL_DELAY_SECONDS)
-        self.assertLessEqual(count_fullest(arrivals, WINDOW_SECONDS), find_allowed(rate))
+        self.assertLessEqual(count_peak_requests(arrivals, WINDOW_SECONDS), find_allowed(rate))
 
     def test_grants_use_most_of_the_limit(self) -> None:
         for rate in (0.3, 1.0, 2.4, 27.0):
-            limits = SendLimits(ColdRule())
-            limits.begin(1, -LOOKBACK_SECONDS)
+            limits = GrantLimiter(ColdRule())
+            limits.start_term(1, -LOOKBACK_SECONDS)
             granted = 0
             for step in range(10_000):
-                if limits.may_get("i", make_limit_bounds(rate), step / 100):
-                    limits.grant("i", step / 100)
+                if limits.may_grant("i", make_window_limits(rate), step / 100):
+                    limits.record_grant("i", step / 100)
                     granted += 1
             self.assertGreater(granted / 100, 0.6 * rate)
             self.assertLessEqual(granted / 100, rate + 0.1)
 
     def test_zero_limit_is_probed_at_interval(self) -> None:
-        limits = SendLimits(ColdRule())
-        limits.begin(1, -LOOKBACK_SECONDS)
-        bounds = make_limit_bounds(0.0)
-        self.assertTrue(limits.may_get("i", bounds, 0.0))
-        limits.grant("i", 0.0)
-        self.assertFalse(limits.may_get("i", bounds, PROBE_INTERVAL_SECONDS))
+        limits = GrantLimiter(ColdRule())
+        limits.start_term(1, -LOOKBACK_SECONDS)
+        bounds = make_window_limits(0.0)
+        self.assertTrue(limits.may_grant("i", bounds, 0.0))
+        limits.record_grant("i", 0.0)
+        self.assertFalse(limits.may_grant("i", bounds, PROBE_INTERVAL_SECONDS))
         self.assertTrue(
-            limits.may_get("i", bounds, PROBE_INTERVAL_SECONDS + MAX_ARRIVAL_DELAY_SECONDS + 0.01)
+            limits.may_grant("i", bounds, PROBE_INTERVAL_SECONDS + MAX_ARRIVAL_DELAY_SECONDS + 0.01)
         )
 
     def test_fallback_shares_stay_within_limit_for_any_gateway_count(self) -> None:
@@ -184,7 +184,7 @@
                     for share in shares
                     if share.try_acquire("i", rate, gateways, step / 20)
                 ]
-                peak = count_fullest(arrivals, WINDOW_SECONDS)
+                peak = count_peak_requests(arrivals, WINDOW_SECONDS)
                 self.assertLessEqual(peak, find_allowed(rate), (gateways, rate))
                 self.assertGreater(len(arrivals), 0.3 * rate * 100)
 
@@ -203,8 +203,8 @@
                 asked.append(question)
                 return answer
 
-            gateway.chooser.ask_place = answer_place
-            gateway.note_backpressure(make_instance(2), Backpressure(limit=2.0))
+            gateway.selector.request_placement = answer_place
+            gateway.note_backpressure(make_instance(2), Backpressure(max_requests_per_second=2.0))
             attempt = Attempt(make_job(0.0), make_instance(2), "", 1.0)
             await body(gateway, dispatcher, asked, attempt)
 
@@ -235,16 +235,16 @@
     def test_limited_upstream_is_picked_only_explicitly(self) -> None:
         async def body(gateway, dispatcher, asked, attempt) -> None:
             service = gateway.get_service("s")
-            candidates = {c.instance.id for c in gateway.chooser.list_candidates(service, 10, ())}
+            candidates = {c.instance.id for c in gateway.selector.list_candidates(service, 10, ())}
             self.assertEqual(candidates, {"i1", "i3"})
-            limited = gateway.chooser.pick_limited(service, 10, {"i1", "i3"})
+            limited = gateway.selector.pick_rate_limited(service, 10, {"i1", "i3"})
             self.assertEqual(limited.id, "i2")
 
         self.run_body(body, None)
 
     def test_lifted_limit_needs_no_grant(self) -> None:
         async def body(gateway, dispatcher, asked, attempt) -> None:
-            self.assertTrue(gateway.guard.is_limited(make_instance(2)))
+            self.assertTrue(gateway.guard.needs_grant(make_instance(2)))
             self.assertEqual((gateway.count_limited(), gateway.count_resting()), (1, 0))
             await anyio.sleep(MIN_LIFT_DELAY_SECONDS)
             gateway.note_backpressure(make_instance(2), Backpressure())
--- a/tests/test_spreading.py
+++ b/tests/test_heldrequests.py
@@ -16,7 +16,6 @@
 
 from daleroad.calls import make_url
 from daleroad.channels import ChannelCalls
-from daleroad.choosing import GatewayOptions
 from daleroad.codec import encode
 from daleroad.commandcalls import SECRET_VARIABLE
 from daleroad.defaults import FLEET_KEPT_SECONDS
@@ -31,8 +30,9 @@
     TrialRequest,
     WatchAnswer,
 )
+from daleroad.selection import GatewayOptions
 from daleroad.suspectcommands import SuspectCommands
-from daleroad.suspects import CRASHES_HELD, Standing, Suspicion
+from daleroad.suspects import MIN_CRASHES_HELD, Standing, Suspicion
 from daleroad.watching import Watcher
 from tests.fakes import FakeDispatcher, make_instance, make_job
 from tests.test_coordinator import Site, make_document, parse, run_site, wait_for
@@ -46,7 +46,7 @@
 """Largest encoding of what a gateway is told of one suspected request."""
 
 
-class Sites:
+class WatchedSite:
     """A site's coordinators and the gateways that watch them.
 
     :param site: the coordinators.
@@ -84,10 +84,10 @@
         for scope in self._scopes:
             scope.cancel()
 
-    def crash(self, gateway: Gateway, number: int) -> None:
+    def report_crash(self, gateway: Gateway, number: int) -> None:
         """Report to a gateway that an upstream crashed during the request of these tests."""
         job = make_job(anyio.current_time())
-        gateway.guard.note_lost(Attempt(job, make_instance(number), "", 1.0))
+        gateway.guard.record_lost(Attempt(job, make_instance(number), "", 1.0))
 
 
 def get_standing(gateway: Gateway) -> Standing:
@@ -99,54 +99,54 @@
     return all(g.guard.get_standing(asked, "") is Standing.HELD for g in gateways)
 
 
-def run_sites(body: Callable) -> None:
+def run_watched_site(body: Callable) -> None:
     """Run a test body with coordinators that have a configuration for gateways."""
 
     async def main(site: Site, names: list[str]) -> None:
         await site.get(names[0]).log.save(make_document(1))
-        await body(Sites(site), names)
+        await body(WatchedSite(site), names)
 
     run_site(main)
 
 
 class HeldRequestTest(unittest.TestCase):
-    async def hold_request(self, sites: Sites, gateways: list[Gateway]) -> None:
+    async def hold_request(self, sites: WatchedSite, gateways: list[Gateway]) -> None:
         """Report each crash to another gateway and wait until all gateways hold the request."""
         await wait_for(lambda: all(g.get_version() for g in gateways))
-        for number in range(CRASHES_HELD):
-            sites.crash(gateways[number], number + 1)
+        for number in range(MIN_CRASHES_HELD):
+            sites.report_crash(gateways[number], number + 1)
         await wait_for(lambda: all_hold(gateways))
 
     def test_crashes_reported_to_different_gateways_add_up_at_all_of_them(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             gateways = sites.add(GATEWAYS)
             began = anyio.current_time()
             await self.hold_request(sites, gateways)
             durations = []
             for round_number in range(5):
                 began = anyio.current_time()
-                for number in range(CRASHES_HELD):
+                for number in range(MIN_CRASHES_HELD):
                     job = replace(make_job(began), body=f"body {round_number}".encode())
                     attempt = Attempt(job, make_instance(number + 1), "", 1.0)
-                    gateways[number].guard.note_lost(attempt)
+                    gateways[number].guard.record_lost(attempt)
                 await wait_for(partial(all_hold, gateways, job))
                 durations.append(anyio.current_time() - began)
             self.assertLess(median(durations), MAX_PROPAGATION_SECONDS)
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_new_gateway_knows_held_requests_once_it_is_configured(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             await self.hold_request(sites, sites.add(3))
             (new_gateway,) = sites.add(1)
             await new_gateway.configured.wait()
             await wait_for(lambda: new_gateway.get_version())
             self.assertIs(get_standing(new_gateway), Standing.HELD)
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_hold_survives_the_loss_of_the_leader(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             await self.hold_request(sites, sites.add(3))
             leader = sites.site.get_leader()
             assert leader is not None
@@ -155,10 +155,10 @@
             (new_gateway,) = sites.add(1)
             await wait_for(lambda: all_hold([new_gateway]))
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_hold_survives_a_restart_of_all_processes(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             await self.hold_request(sites, sites.add(3))
             await anyio.sleep(3 * FLEET_KEPT_SECONDS)
             sites.end_all()
@@ -170,25 +170,25 @@
             new_gateways = sites.add(2)
             await wait_for(lambda: all_hold(new_gateways))
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_restarted_coordinator_learns_of_a_request_held_without_a_leader(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             for name in names[1:3]:
                 await sites.site.kill(name)
             gateways = sites.add(3)
             await wait_for(lambda: all(g.heard_at > 0 for g in gateways))
             # Without a majority there is no leader; holding a request needs neither.
-            for number in range(CRASHES_HELD):
-                sites.crash(gateways[number], number + 1)
+            for number in range(MIN_CRASHES_HELD):
+                sites.report_crash(gateways[number], number + 1)
             await wait_for(lambda: all_hold(gateways))
             restarted = await sites.site.start(names[1], founding=False)
             await wait_for(lambda: restarted.presence.suspects.count_held(anyio.current_time()))
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_heartbeat_retracts_an_assumed_crash_at_all_gateways(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             gateways = sites.add(3)
             await self.hold_request(sites, gateways)
 
@@ -201,12 +201,12 @@
                     await anyio.sleep(0.3)
 
             sites.site.tasks.start_soon(send_heartbeats)
-            await wait_for(lambda: all(get_standing(g) is Standing.LAST for g in gateways))
+            await wait_for(lambda: all(get_standing(g) is Standing.LAST_TRY for g in gateways))
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_operator_calls_list_and_release_a_held_request(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             gateways = sites.add(3)
             await self.hold_request(sites, gateways)
             calls = ChannelCalls("secret")
@@ -226,10 +226,10 @@
             self.assertIsNone(released)
             await wait_for(lambda: all(get_standing(g) is Standing.CLEAR for g in gateways))
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_commands_list_and_release_a_held_request(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             gateways = sites.add(3)
             await self.hold_request(sites, gateways)
             commands = SuspectCommands()
@@ -238,13 +238,13 @@
                 await anyio.to_thread.run_sync(commands.list, names[0])
                 row = json.loads(output.getvalue())
                 await anyio.to_thread.run_sync(commands.release, names[0], row["fingerprint"])
-            self.assertEqual((row["held"], len(row["ended"])), (True, CRASHES_HELD))
+            self.assertEqual((row["held"], len(row["ended"])), (True, MIN_CRASHES_HELD))
             await wait_for(lambda: all(get_standing(g) is Standing.CLEAR for g in gateways))
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_only_the_leader_grants_trials_and_one_for_each_request(self) -> None:
-        async def body(sites: Sites, names: list[str]) -> None:
+        async def body(sites: WatchedSite, names: list[str]) -> None:
             await self.hold_request(sites, sites.add(3))
             leader = sites.site.get_leader()
             assert leader is not None
@@ -265,10 +265,10 @@
             assert isinstance(refused, Failure)
             self.assertIs(refused.kind, FailureKind.NOT_LEADER)
 
-        run_sites(body)
+        run_watched_site(body)
 
     def test_encoded_suspicion_is_small(self) -> None:
-        crashes = tuple(f"i-{number:010x}@1768712629029" for number in range(CRASHES_HELD))
+        crashes = tuple(f"i-{number:010x}@1768712629029" for number in range(MIN_CRASHES_HELD))
         suspicion = Suspicion("f" * 32, "organisation", "host.example/path/x", crashes, (), 1.0)
         empty = WatchAnswer("e", 1, (), "", 1, None, (), {}, None, 1)
         size = len(encode(replace(empty, suspicions=(suspicion,)))) - len(encode(empty))
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -20,8 +20,8 @@
                 loads = tuple(
                     Load(f"i{name}", random.randrange(3), random.randrange(5000)) for name in names
                 )
-                totals.note(gateway, loads, now)
-                totals.prune(now)
+                totals.set_report(gateway, loads, now)
+                totals.remove_expired(now)
                 reports[gateway] = (loads, now)
                 requester = f"g{random.randrange(6)}"
                 self.assertEqual(
@@ -31,10 +31,10 @@
 
     def test_expired_report_is_left_out(self) -> None:
         totals = LoadTotals(MAX_AGE_SECONDS)
-        totals.note("a", (Load("i", 1, 100, 10),), 10.0)
-        totals.note("b", (Load("i", 2, 200, 20),), 11.0)
+        totals.set_report("a", (Load("i", 1, 100, 10),), 10.0)
+        totals.set_report("b", (Load("i", 2, 200, 20),), 11.0)
         self.assertEqual(totals.sum_others("c"), [Load("i", 3, 300, 30)])
-        totals.prune(10.0 + MAX_AGE_SECONDS + 0.1)
+        totals.remove_expired(10.0 + MAX_AGE_SECONDS + 0.1)
         self.assertEqual(totals.sum_others("c"), [Load("i", 2, 200, 20)])
         self.assertEqual(totals.sum_others("b"), [])
 
--- a/tests/test_crowded.py
+++ b/tests/test_memorywaits.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 
-from daleroad.defaults import CROWDED_OBJECTIVES, CROWDED_PAUSE_SECONDS
+from daleroad.defaults import MAX_MEMORY_WAIT_OBJECTIVES, MEMORY_WAIT_PAUSE_SECONDS
 from daleroad.dispatch import Prompt, Whole
 from daleroad.fleet import Fleet
 from daleroad.instances import Sighting
@@ -44,14 +44,14 @@
         return self.placer.place(request, SERVICE, 0.1)
 
     def test_engine_with_enough_memory_is_preferred_to_one_with_less_prefill(self) -> None:
-        self.loads.note("g1", (Load("i1", 1, ENGINE.memory_tokens - 1000),), 0.0)
-        self.loads.note("g2", (Load("i2", 5, 20_000, 12_000),), 0.0)
+        self.loads.set_report("g1", (Load("i1", 1, ENGINE.memory_tokens - 1000),), 0.0)
+        self.loads.set_report("g2", (Load("i2", 5, 20_000, 12_000),), 0.0)
         self.assertEqual(self.place(4000).instance, "i2")
         self.assertEqual(self.place(900).instance, "i1")
 
     def test_without_free_memory_only_patient_requests_wait(self) -> None:
         full = ENGINE.memory_tokens - 1000
-        self.loads.note("g1", (Load("i1", 6, full), Load("i2", 6, full)), 0.0)
+        self.loads.set_report("g1", (Load("i1", 6, full), Load("i2", 6, full)), 0.0)
         self.assertEqual(self.place(4000, patient=True), PlaceAnswer("", crowded=True))
         self.assertTrue(self.place(4000).instance)
         self.assertEqual(self.place(900, patient=True).crowded, False)
@@ -70,7 +70,7 @@
             gateway = make_gateway(
                 dispatcher, make_config(Repeat.STREAM, engine=True), anyio.current_time()
             )
-            gateway.chooser.gateways = 2
+            gateway.selector.gateways = 2
             began = anyio.current_time()
             patient: list[bool] = []
 
@@ -80,7 +80,7 @@
                     return PlaceAnswer("", crowded=True)
                 return PlaceAnswer("i1")
 
-            gateway.chooser.ask_place = place
+            gateway.selector.request_placement = place
             answer = await make_forwarder(gateway).serve(make_job(began, prompt=prompt))
             assert isinstance(answer, Whole)
             return anyio.current_time() - began, patient
@@ -88,14 +88,16 @@
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def test_long_generation_is_sent_once_memory_is_free(self) -> None:
-        delay, patient = self.serve(CROWDED_PAUSE_SECONDS, PROMPT)
-        self.assertAlmostEqual(delay, CROWDED_PAUSE_SECONDS)
+        delay, patient = self.serve(MEMORY_WAIT_PAUSE_SECONDS, PROMPT)
+        self.assertAlmostEqual(delay, MEMORY_WAIT_PAUSE_SECONDS)
         self.assertEqual(patient, [True, True])
 
     def test_wait_is_limited_to_a_part_of_the_objective(self) -> None:
         objective = make_config(Repeat.STREAM).routes[0].objective
         delay, patient = self.serve(100.0, PROMPT)
-        self.assertLessEqual(delay, CROWDED_OBJECTIVES * objective + CROWDED_PAUSE_SECONDS)
+        self.assertLessEqual(
+            delay, MAX_MEMORY_WAIT_OBJECTIVES * objective + MEMORY_WAIT_PAUSE_SECONDS
+        )
         self.assertFalse(patient[-1])
 
     def test_short_generation_does_not_wait(self) -> None:
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from daleroad.codec import decode
-from daleroad.defaults import PLACE_PAUSE_SECONDS, PLACE_SECONDS
+from daleroad.defaults import PLACER_RETRY_SECONDS, PLACER_TIMEOUT_SECONDS
 from daleroad.dispatch import Prompt
 from daleroad.errors import Failure, FailureKind
 from daleroad.fleet import Fleet
@@ -19,8 +19,8 @@
 from daleroad.instances import InstanceState, Sighting
 from daleroad.loads import LoadTotals
 from daleroad.notices import Load, LoadsRequest, PlaceAnswer, PlaceRequest
-from daleroad.placeclient import PlaceClient
 from daleroad.placer import Placer
+from daleroad.placerclient import PlacerClient
 from daleroad.routing import Repeat, ServiceRule
 from tests.fakes import ENGINE, FakeDispatcher, make_config, make_gateway, make_instance
 
@@ -51,9 +51,9 @@
     def test_load_report_replaces_the_load_recorded_at_placement(self) -> None:
         name = self.place(make_request())
         self.assertEqual(self.loads.get_total(name), Load(name, 1, 4000, 3000))
-        self.loads.note("g1", (Load(name, 1, 4000, 0),), 0.2)
+        self.loads.set_report("g1", (Load(name, 1, 4000, 0),), 0.2)
         self.assertEqual(self.loads.get_total(name), Load(name, 1, 4000, 0))
-        self.loads.note("g1", (), 0.3)
+        self.loads.set_report("g1", (), 0.3)
         self.assertEqual(self.loads.get_total(name), Load(name))
 
     def test_excluded_leaving_and_failing_engines_are_not_chosen(self) -> None:
@@ -85,7 +85,7 @@
         async def main() -> None:
             config = make_config(Repeat.STREAM, engine=True)
             gateway = make_gateway(FakeDispatcher(), config, anyio.current_time())
-            gateway.chooser.gateways = 40
+            gateway.selector.gateways = 40
             await body(gateway)
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -95,14 +95,16 @@
             return await answer() if callable(answer) else answer
 
         calls = FakeCalls(respond)
-        gateway.chooser.ask_place = PlaceClient(gateway, calls, lambda: leader).ask
+        gateway.selector.request_placement = PlacerClient(
+            gateway, calls, lambda: leader
+        ).request_placement
         return calls
 
     def test_prompt_goes_to_the_engine_that_the_placer_chose(self) -> None:
         async def body(gateway: Gateway) -> None:
             calls = self.connect(gateway, PlaceAnswer("i3"))
             for _ in range(5):
-                found = await gateway.chooser.place(SERVICE, 4000, ("i1",), PROMPT)
+                found = await gateway.selector.place(SERVICE, 4000, ("i1",), PROMPT)
                 assert found is not None
                 self.assertEqual(found.id, "i3")
             request = decode(PlaceRequest, calls.sent[0][1])
@@ -119,11 +121,11 @@
                 calls = self.connect(gateway, answer)
                 for _ in range(3):
                     asked_at = anyio.current_time()
-                    self.assertIsNotNone(await gateway.chooser.place(SERVICE, 4000, (), PROMPT))
-                    self.assertLess(anyio.current_time() - asked_at, PLACE_SECONDS + 0.001)
+                    self.assertIsNotNone(await gateway.selector.place(SERVICE, 4000, (), PROMPT))
+                    self.assertLess(anyio.current_time() - asked_at, PLACER_TIMEOUT_SECONDS + 0.001)
                 self.assertEqual(len(calls.sent), 1)
-                await anyio.sleep(PLACE_PAUSE_SECONDS)
-                await gateway.chooser.place(SERVICE, 4000, (), PROMPT)
+                await anyio.sleep(PLACER_RETRY_SECONDS)
+                await gateway.selector.place(SERVICE, 4000, (), PROMPT)
                 self.assertEqual(len(calls.sent), 2)
 
         self.run_with_gateway(body)
@@ -134,7 +136,7 @@
             gateway.fleet.note(leaving, anyio.current_time())
             for chosen in ("i3", "i1", "i9", ""):
                 self.connect(gateway, PlaceAnswer(chosen))
-                found = await gateway.chooser.place(SERVICE, 4000, ("i1",), PROMPT)
+                found = await gateway.selector.place(SERVICE, 4000, ("i1",), PROMPT)
                 assert found is not None
                 self.assertEqual(found.id, "i2")
 
@@ -144,9 +146,9 @@
         async def body(gateway: Gateway) -> None:
             calls = self.connect(gateway, PlaceAnswer("i3"))
             plain = ServiceRule("s", "/", 100, None)
-            await gateway.chooser.place(plain, 0, (), None)
-            gateway.chooser.gateways = 1
-            await gateway.chooser.place(SERVICE, 4000, (), PROMPT)
+            await gateway.selector.place(plain, 0, (), None)
+            gateway.selector.gateways = 1
+            await gateway.selector.place(SERVICE, 4000, (), PROMPT)
             self.assertEqual(calls.sent, [])
 
         self.run_with_gateway(body)
@@ -157,16 +159,16 @@
                 return None
 
             calls = FakeCalls(respond)
-            client = PlaceClient(gateway, calls, lambda: "l:1")
+            client = PlacerClient(gateway, calls, lambda: "l:1")
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(client.run)
+                tasks.start_soon(client.report_loads)
                 await anyio.sleep(1.0)
                 self.assertEqual(calls.sent, [])
                 instance = make_instance(1)
-                gateway.loads.add(instance, 1, 4000, 3000)
-                gateway.loads.add(instance, 1, 4000, 3000)
+                gateway.loads.add_load(instance, 1, 4000, 3000)
+                gateway.loads.add_load(instance, 1, 4000, 3000)
                 await anyio.sleep(0.1)
-                gateway.loads.add(instance, 0, 0, -3000)
+                gateway.loads.add_load(instance, 0, 0, -3000)
                 await anyio.sleep(0.1)
                 tasks.cancel_scope.cancel()
             reported = [decode(LoadsRequest, body).loads for _, body in calls.sent]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -52,7 +52,7 @@
 )
 from daleroad.errors import Failure, FailureKind, Ran  # noqa: E402
 from daleroad.evacuations import EvacuatedZones  # noqa: E402
-from daleroad.fingerprints import find_fingerprint  # noqa: E402
+from daleroad.fingerprints import fingerprint_job  # noqa: E402
 from daleroad.instances import Instance, InstanceState  # noqa: E402
 from daleroad.routing import Repeat, RoutingConfig, find_fault  # noqa: E402
 
@@ -318,7 +318,7 @@
         for parts in ((b"a long body",), (b"a lo", b"", b"ng body"), (b"a long body", b"")):
             body = anyio.run(read, *parts)
             assert isinstance(body, bytes)
-            found.add(find_fingerprint(replace(job, body=body), "org"))
+            found.add(fingerprint_job(replace(job, body=body), "org"))
         self.assertEqual(len(found), 1)
 
     def test_request_without_an_id_is_rejected(self) -> None:
@@ -679,7 +679,7 @@
         self.assertEqual(node.seeds, ("10.0.0.1:7200", "10.0.0.2:7200"))
         self.assertEqual((node.heartbeat, node.retry_slack, node.revoke), (1.2, 64.0, 4.0))
         self.assertTrue(coordinatorprocess.make_options(node).founding)
-        self.assertEqual(gatewayprocess.make_options(node).outdated_after, 4.0)
+        self.assertEqual(gatewayprocess.make_options(node).coordinator_timeout, 4.0)
 
     def test_vm_outside_the_tolerance_does_not_vote(self) -> None:
         self.assertEqual(coordinatorprocess.make_options(read_node(NODE)).data, "/data/x")
--- a/tests/test_holding.py
+++ b/tests/test_requestholds.py
@@ -13,7 +13,7 @@
 import trio
 import trio.testing
 
-from daleroad.defaults import STILL_THERE_SECONDS
+from daleroad.defaults import LEASE_REMOVAL_DELAY_SECONDS
 from daleroad.entry import Entry
 from daleroad.loopback import Site, get_token, make_site
 from daleroad.messages import Suspicions
@@ -45,7 +45,7 @@
 
     def record_crashes(self, entry: Entry, *names: str) -> None:
         for name in names:
-            entry.holding.note_lost(FINGERPRINT, ORGANISATION, ROUTE, name)
+            entry.holding.record_lost(FINGERPRINT, ORGANISATION, ROUTE, name)
 
     def get(self, entry: Entry) -> Standing:
         return entry.env.suspects.get_standing(FINGERPRINT, anyio.current_time())
@@ -57,7 +57,7 @@
             other = Entry(entry.env.settings, Random(1))
             self.record_crashes(other, "u2", "u3")
             reports = other.env.suspects.list_changed(anyio.current_time())
-            entry.holding.take(Suspicions(reports))
+            entry.holding.merge_reports(Suspicions(reports))
             self.assertIsNotNone(entry.holding.find_refusal(FINGERPRINT))
 
         self.run_entry(body)
@@ -67,7 +67,7 @@
             leaving = Upstream("u3", "a", "narrator", "z", state=State.DRAINING)
             entry.env.catalog.upstreams["u3"] = leaving
             self.record_crashes(entry, "u1", "u2", "u3")
-            self.assertIs(self.get(entry), Standing.LAST)
+            self.assertIs(self.get(entry), Standing.LAST_TRY)
 
         self.run_entry(body)
 
@@ -76,16 +76,16 @@
             entry.env.catalog.upstreams["u2"] = Upstream("u2", "a", "narrator", "z")
             self.record_crashes(entry, "u1", "u2", "u3")
             self.assertIs(self.get(entry), Standing.HELD)
-            await anyio.sleep(entry.env.settings.upstream_lease + STILL_THERE_SECONDS + 0.1)
-            self.assertIs(self.get(entry), Standing.LAST)
+            await anyio.sleep(entry.env.settings.upstream_lease + LEASE_REMOVAL_DELAY_SECONDS + 0.1)
+            self.assertIs(self.get(entry), Standing.LAST_TRY)
 
         self.run_entry(body)
 
     def test_a_complete_response_cancels_a_crash(self) -> None:
         async def body(entry: Entry) -> None:
             self.record_crashes(entry, "u1", "u2", "u3")
-            entry.holding.note_whole(FINGERPRINT)
-            self.assertIs(self.get(entry), Standing.LAST)
+            entry.holding.record_success(FINGERPRINT)
+            self.assertIs(self.get(entry), Standing.LAST_TRY)
 
         self.run_entry(body)
 
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -61,7 +61,7 @@
                     await runs.close(run)
                 tasks.cancel_scope.cancel()
             self.assertEqual(runs.count(), 0)
-            self.assertEqual(gateway.loads.list_own(), ())
+            self.assertEqual(gateway.loads.list_own_loads(), ())
             return run
 
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -69,7 +69,7 @@
     def make_run(self, gateway: Gateway, stream: FakeStream, now: float) -> Run:
         job = make_job(now, 60.0, PROMPT)
         instance = make_instance(1)
-        gateway.loads.add(instance, 1, 4000)
+        gateway.loads.add_load(instance, 1, 4000)
         attempt = Attempt(job, instance, "", 60.0)
         return Run(attempt, stream, now + 60.0, 4000, tries=self.tries)
 
--- a/tests/test_picking.py
+++ b/tests/test_scoring.py
@@ -15,16 +15,16 @@
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.notices import Load
-from daleroad.picking import (
+from daleroad.retries import WindowBudget
+from daleroad.routing import Repeat
+from daleroad.scoring import (
     MAX_PREFERENCE_WEIGHT,
     Candidate,
     estimate_load,
-    make_spread,
+    make_preference_order,
     pick_upstream,
     sample_candidates,
 )
-from daleroad.retries import WindowBudget
-from daleroad.routing import Repeat
 from tests.fakes import FakeDispatcher, make_config, make_gateway, make_instance
 
 
@@ -43,9 +43,9 @@
         self.assertEqual(pick(make_candidate("a", 0.9), make_candidate("b", 0.2)), "b")
 
     def test_doubtful_upstream_is_used_only_without_another(self) -> None:
-        doubtful = make_candidate("a", 0.0, doubtful=True)
-        self.assertEqual(pick(doubtful, make_candidate("b", 5.0)), "b")
-        self.assertEqual(pick(doubtful), "a")
+        unhealthy = make_candidate("a", 0.0, unhealthy=True)
+        self.assertEqual(pick(unhealthy, make_candidate("b", 5.0)), "b")
+        self.assertEqual(pick(unhealthy), "a")
         self.assertEqual(pick(), "")
 
     def test_penalties_count_as_load(self) -> None:
@@ -59,23 +59,23 @@
         equal = [make_candidate(name, 0.5) for name in "abcdef"]
         preferred = set()
         for number in range(20):
-            order = make_spread(f"gateway-{number}", 20)
-            picks = [pick_upstream(equal, "", Random(seed), spread=order) for seed in range(9)]
+            order = make_preference_order(f"gateway-{number}", 20)
+            picks = [pick_upstream(equal, "", Random(seed), preference=order) for seed in range(9)]
             self.assertEqual(len({p.instance.id for p in picks if p}), 1)
             preferred |= {p.instance.id for p in picks if p}
         self.assertGreater(len(preferred), 3)
-        self.assertEqual(make_spread("gateway-0", 1).get_penalty("a"), 0.0)
-        self.assertEqual(make_spread("gateway-0", 1000).weight, MAX_PREFERENCE_WEIGHT)
+        self.assertEqual(make_preference_order("gateway-0", 1).get_penalty("a"), 0.0)
+        self.assertEqual(make_preference_order("gateway-0", 1000).weight, MAX_PREFERENCE_WEIGHT)
 
     def test_only_short_generations_use_the_gateways_preference_order(self) -> None:
         async def main() -> None:
             config = make_config(Repeat.STREAM, engine=True)
             gateway = make_gateway(FakeDispatcher(), config, anyio.current_time())
-            gateway.chooser.gateways = 40
+            gateway.selector.gateways = 40
             service = config.services[0]
             for most_output, expected in ((20, 1), (2000, 3)):
                 prompt = Prompt((), 100, most_output)
-                picks = (gateway.chooser.pick(service, 200, (), prompt) for _ in range(60))
+                picks = (gateway.selector.pick(service, 200, (), prompt) for _ in range(60))
                 self.assertEqual(len({p.id for p in picks if p}), expected)
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -91,13 +91,14 @@
             gateway.fleet.note(Sighting(replace(make_instance(1), sequence=2), 0.0), now)
             used = set()
             for _ in range(12):
-                picked = gateway.chooser.pick(config.services[0], 4000, ())
+                picked = gateway.selector.pick(config.services[0], 4000, ())
                 assert picked is not None
-                gateway.loads.add(picked, 1, 4000, 3000)
+                gateway.loads.add_load(picked, 1, 4000, 3000)
                 used.add(picked.id)
             return len(used)
 
-        # The age given to engines recovered from disk, and one so old that the others are doubtful.
+        # The age given to engines recovered from disk, and one so old that the others are
+        # unhealthy.
         for age, expected in ((RECOVERED_HEARTBEATS, 3), (10.0, 1)):
             clock = trio.testing.MockClock(autojump_threshold=0)
             self.assertEqual(trio.run(main, age, clock=clock), expected)
@@ -129,8 +130,8 @@
             for number in (4, 5):
                 gateway.fleet.note(Sighting(make_instance(number), 0.0), heard_at)
             await anyio.sleep(age)
-            candidates = list(gateway.chooser.list_candidates(service, 0, ()))
-            return {(c.overdue, c.doubtful) for c in candidates}
+            candidates = list(gateway.selector.list_candidates(service, 0, ()))
+            return {(c.overdue, c.unhealthy) for c in candidates}
 
         for instance in gateway.fleet.list_ready("s"):
             gateway.fleet.leave(instance.id, 0.0)
@@ -160,9 +161,9 @@
 
     def test_doubtful_candidates_are_sampled_only_without_others(self) -> None:
         healthy = make_candidate("a", 0.9)
-        doubtful = [make_candidate(str(n), 0.0, doubtful=True) for n in range(5)]
-        self.assertEqual(sample_candidates([*doubtful, healthy], 90, Random(1)), [healthy])
-        self.assertEqual(len(sample_candidates(doubtful, 90, Random(1))), 2)
+        unhealthy = [make_candidate(str(n), 0.0, unhealthy=True) for n in range(5)]
+        self.assertEqual(sample_candidates([*unhealthy, healthy], 90, Random(1)), [healthy])
+        self.assertEqual(len(sample_candidates(unhealthy, 90, Random(1))), 2)
 
 
 class WindowBudgetTest(unittest.TestCase):
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -5,7 +5,6 @@
 
 from daleroad.outbox import Outbox
 from daleroad.suspects import (
-    CRASHES_HELD,
     CREDIT_TTL_SECONDS,
     HELD_RETENTION_SECONDS,
     HOLD_BACKOFF_SECONDS,
@@ -13,10 +12,11 @@
     MAX_CREDITED_REQUESTS,
     MAX_CREDITS,
     MAX_SUSPECTS,
+    MIN_CRASHES_HELD,
     MIN_CRASHES_LAST_TRY,
     SUCCEEDED_HOLD_SECONDS,
     SUSPECT_RETENTION_SECONDS,
-    TRIAL_SECONDS,
+    TRIAL_INTERVAL_SECONDS,
     Standing,
     Suspects,
     Suspicion,
@@ -36,7 +36,7 @@
         return self.suspects.get_standing(fingerprint, at)
 
     def test_crashes_of_different_instances_add_up(self) -> None:
-        expected = [Standing.CLEAR, Standing.LAST, Standing.HELD, Standing.HELD]
+        expected = [Standing.CLEAR, Standing.LAST_TRY, Standing.HELD, Standing.HELD]
         for number, standing in enumerate(expected):
             self.crash("bad", f"i{number}")
             self.assertIs(self.get("bad"), standing)
@@ -56,12 +56,12 @@
         self.crash("popular", "i1", "i2")
         self.assertIs(self.get("popular"), Standing.CLEAR)
         self.crash("popular", "i3")
-        self.assertIs(self.get("popular"), Standing.LAST)
+        self.assertIs(self.get("popular"), Standing.LAST_TRY)
 
     def test_credits_for_successes_are_bounded(self) -> None:
         for _ in range(10 * MAX_CREDITS):
             self.suspects.record_success("regressed", 0.0)
-        self.crash("regressed", *(f"i{n}" for n in range(MAX_CREDITS + CRASHES_HELD)))
+        self.crash("regressed", *(f"i{n}" for n in range(MAX_CREDITS + MIN_CRASHES_HELD)))
         self.assertIs(self.get("regressed"), Standing.HELD)
 
     def test_a_request_that_crashes_two_times_out_of_three_is_held(self) -> None:
@@ -78,13 +78,13 @@
         self.crash("b", "i2")
         reports = self.suspects.record_alive("i2", 1.0)
         self.assertEqual({r.fingerprint for r in reports}, {"a", "b"})
-        self.assertIs(self.get("a"), Standing.LAST)
+        self.assertIs(self.get("a"), Standing.LAST_TRY)
         self.crash("a", "i2")
-        self.assertIs(self.get("a"), Standing.LAST)
+        self.assertIs(self.get("a"), Standing.LAST_TRY)
 
     def test_crashes_that_a_held_request_explains_count_against_no_other(self) -> None:
         self.crash("bystander", "i1", "i2")
-        self.assertIs(self.get("bystander"), Standing.LAST)
+        self.assertIs(self.get("bystander"), Standing.LAST_TRY)
         self.crash("bad", "i1", "i2", "i3")
         self.assertIs(self.get("bad"), Standing.HELD)
         self.assertIs(self.get("bystander"), Standing.CLEAR)
@@ -113,7 +113,7 @@
         self.suspects.merge(Suspicion("popular", "org", "h/x", ("i0",), ("i0",), whole=True), 0.0)
         for further in range(8):
             self.crash("popular", *(f"i{n}" for n in range(1, 4 + further)))
-            left = self.suspects.get_held_left("popular", 0.0)
+            left = self.suspects.get_hold_remaining("popular", 0.0)
             self.assertEqual(
                 left, min(HOLD_BACKOFF_SECONDS[0], SUCCEEDED_HOLD_SECONDS * 2**further)
             )
@@ -140,7 +140,7 @@
         for number, seconds in enumerate([*HOLD_BACKOFF_SECONDS, HOLD_BACKOFF_SECONDS[-1]]):
             self.crash("bad", f"i{3 + number}", at=at)
             self.assertIs(self.get("bad", at + seconds - 1), Standing.HELD)
-            self.assertEqual(self.suspects.get_held_left("bad", at + 10), seconds - 10)
+            self.assertEqual(self.suspects.get_hold_remaining("bad", at + 10), seconds - 10)
             at += seconds
             self.suspects.prune(at)
             self.assertIs(self.get("bad", at), Standing.TRIAL)
@@ -151,9 +151,9 @@
     def test_a_trial_is_claimed_once_per_interval(self) -> None:
         trials = Trials()
         self.assertTrue(trials.claim("bad", 0.0))
-        self.assertFalse(trials.claim("bad", TRIAL_SECONDS - 0.1))
+        self.assertFalse(trials.claim("bad", TRIAL_INTERVAL_SECONDS - 0.1))
         self.assertTrue(trials.claim("other", 0.0))
-        self.assertTrue(trials.claim("bad", TRIAL_SECONDS))
+        self.assertTrue(trials.claim("bad", TRIAL_INTERVAL_SECONDS))
 
     def test_local_credits_cancel_crashes_recorded_elsewhere(self) -> None:
         """Another request crashes three upstreams while they also run a popular one."""
@@ -161,11 +161,11 @@
         seen_elsewhere = Suspicion("popular", "org", "h/x", ("i1", "i2", "i3"))
         self.suspects.merge(seen_elsewhere, 1.0)
         self.assertIs(self.get("popular", 1.0), Standing.HELD)
-        report = self.suspects.refute("popular", 1.0)
+        report = self.suspects.apply_credits("popular", 1.0)
         assert report is not None
         self.assertEqual(report.cleared, ("i1",))
-        self.assertIs(self.get("popular", 1.0), Standing.LAST)
-        self.assertIsNone(self.suspects.refute("popular", 1.0))
+        self.assertIs(self.get("popular", 1.0), Standing.LAST_TRY)
+        self.assertIsNone(self.suspects.apply_credits("popular", 1.0))
 
     def test_expired_credits_cancel_nothing(self) -> None:
         for _ in range(5):
@@ -211,15 +211,15 @@
     def test_gateways_get_reports_on_flagged_requests_only(self) -> None:
         self.crash("once", "i1")
         self.crash("twice", "i1", "i2")
-        marked = self.suspects.list_changed(0.0, 0, marked=True)
+        marked = self.suspects.list_changed(0.0, 0, flagged_only=True)
         self.assertEqual([report.fingerprint for report in marked], ["twice"])
-        known = self.suspects.marked_revision
+        known = self.suspects.flagged_revision
         self.crash("another", "i3")
-        self.assertEqual(self.suspects.marked_revision, known)
-        self.assertEqual(self.suspects.list_changed(0.0, known, marked=True), ())
+        self.assertEqual(self.suspects.flagged_revision, known)
+        self.assertEqual(self.suspects.list_changed(0.0, known, flagged_only=True), ())
         revision = self.suspects.revision
         self.suspects.record_success("twice", 0.0)
-        (report,) = self.suspects.list_changed(0.0, revision, marked=True)
+        (report,) = self.suspects.list_changed(0.0, revision, flagged_only=True)
         self.assertEqual((report.crashes, report.cleared), (("i2",), ("i1",)))
 
     def test_a_retraction_for_an_unknown_request_is_ignored(self) -> None:
@@ -311,4 +311,4 @@
 
 class BoundsTest(unittest.TestCase):
     def test_the_last_try_comes_one_crash_before_the_hold(self) -> None:
-        self.assertEqual(MIN_CRASHES_LAST_TRY + 1, CRASHES_HELD)
+        self.assertEqual(MIN_CRASHES_LAST_TRY + 1, MIN_CRASHES_HELD)
--- a/tests/test_unreached.py
+++ b/tests/test_unreachable.py
@@ -13,7 +13,7 @@
 from daleroad.notices import PlaceAnswer, PlaceRequest
 from daleroad.placer import Placer
 from daleroad.routing import Repeat, ServiceRule
-from daleroad.unreached import Unreached
+from daleroad.unreachable import UnreachableUpstreams
 from tests.fakes import (
     ENGINE,
     PROMPT,
@@ -33,26 +33,26 @@
     def setUp(self) -> None:
         self.fleet = Fleet()
         self.fleet.note(Sighting(make_instance(1), 0.0), 10.0)
-        self.unreached = Unreached(self.fleet)
+        self.unreached = UnreachableUpstreams(self.fleet)
 
     def test_zone_with_failure_sends_nothing_until_heartbeat(self) -> None:
-        self.unreached.note("i1", "a", 10.5)
-        self.assertTrue(self.unreached.is_out_of_reach("i1", "a", 11.0))
+        self.unreached.record_failure("i1", "a", 10.5)
+        self.assertTrue(self.unreached.is_unreachable("i1", "a", 11.0))
         self.fleet.note(Sighting(replace(make_instance(1), sequence=2), 0.0), 11.2)
-        self.assertFalse(self.unreached.is_out_of_reach("i1", "a", 11.3))
-        self.unreached.note("i1", "a", 11.4)
-        self.assertTrue(self.unreached.is_out_of_reach("i1", "a", 11.5))
+        self.assertFalse(self.unreached.is_unreachable("i1", "a", 11.3))
+        self.unreached.record_failure("i1", "a", 11.4)
+        self.assertTrue(self.unreached.is_unreachable("i1", "a", 11.5))
 
     def test_failure_blocks_own_zone_and_two_failed_zones_block_all(self) -> None:
-        self.unreached.note("i1", "a", 10.5)
-        self.assertFalse(self.unreached.is_out_of_reach("i1", "b", 11.0))
-        self.unreached.note("i1", "c", 10.6)
-        self.assertTrue(self.unreached.is_out_of_reach("i1", "b", 11.0))
+        self.unreached.record_failure("i1", "a", 10.5)
+        self.assertFalse(self.unreached.is_unreachable("i1", "b", 11.0))
+        self.unreached.record_failure("i1", "c", 10.6)
+        self.assertTrue(self.unreached.is_unreachable("i1", "b", 11.0))
 
     def test_prune_forgets_unknown_upstreams(self) -> None:
-        self.unreached.note("unknown", "a", 10.5)
+        self.unreached.record_failure("unknown", "a", 10.5)
         self.unreached.prune()
-        self.assertFalse(self.unreached.is_out_of_reach("unknown", "a", 10.5))
+        self.assertFalse(self.unreached.is_unreachable("unknown", "a", 10.5))
 
 
 class LeaderTest(unittest.TestCase):
@@ -77,14 +77,14 @@
             dispatcher = FakeDispatcher(NotRun("refused", sent=False), WHOLE, WHOLE)
             config = make_config(Repeat.ONCE, engine=True)
             gateway = make_gateway(dispatcher, config, anyio.current_time() - 0.01)
-            gateway.chooser.gateways = 2
+            gateway.selector.gateways = 2
             requests: list[PlaceRequest] = []
 
             async def answer_place(request: PlaceRequest) -> PlaceAnswer | None:
                 requests.append(request)
                 return PlaceAnswer("i1") if len(requests) == 1 else None
 
-            gateway.chooser.ask_place = answer_place
+            gateway.selector.request_placement = answer_place
             forwarder = make_forwarder(gateway)
             for _ in range(2):
                 await forwarder.serve(make_job(anyio.current_time(), prompt=PROMPT))
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -19,8 +19,7 @@
 import anyio
 import httpx
 
-from daleroad.admission import Admission, Granted, PeakMemory
-from daleroad.batching import EngineShape
+from daleroad.admission import AdmissionController, Admitted, PeakMemoryPolicy
 from daleroad.catalog import Catalog
 from daleroad.claims import Acquire, Claim, ClaimJournal, ClaimState, Settle
 from daleroad.codec import decode, encode
@@ -28,16 +27,17 @@
 from daleroad.control import found
 from daleroad.demo import write_records
 from daleroad.directory import Directory
+from daleroad.enginemodel import EngineParameters
 from daleroad.fleet import Fleet
 from daleroad.instances import Instance, InstanceState, Sighting
-from daleroad.lengths import Lengths
+from daleroad.lengths import OutputLengths
 from daleroad.links import Links
 from daleroad.location import pick_addresses
 from daleroad.loopback import find_ports, get_token, make_site
 from daleroad.messages import Work
 from daleroad.notices import GatewayNotice, Load, ShareRequest, WatchAnswer, WatchRequest
 from daleroad.operating import OperatorClient
-from daleroad.placement import rank_candidates
+from daleroad.ranking import rank_upstreams
 from daleroad.records import EntryMember, Organisation, Upstream
 from daleroad.security import hash_token
 from daleroad.settings import Settings, Tls
@@ -65,7 +65,7 @@
 class RunningProcesses:
     """A site of real processes for the time of a measurement."""
 
-    def __init__(self, entries: int, engines: int, shape: EngineShape, speed: float) -> None:
+    def __init__(self, entries: int, engines: int, shape: EngineParameters, speed: float) -> None:
         self.folder = tempfile.TemporaryDirectory(prefix="daleroad-measure-")
         site = make_site(self.folder.name, entries, engines, shape)
         fast = tuple(replace(e, speed=speed) for e in site.engines)
@@ -113,7 +113,7 @@
 
 def measure_entry() -> dict:
     """CPU a token and a request at an entry, beside the bare relay."""
-    shape = EngineShape(capacity=400_000, slots=64)
+    shape = EngineParameters(capacity=400_000, slots=64)
     with RunningProcesses(1, 1, shape, 2.0) as running:
         engine = running.site.engines[0]
         entry = running.site.entries[0]
@@ -180,7 +180,7 @@
 
 def measure_memory() -> dict:
     """Resident memory of each role, idle and under 200 streams."""
-    shape = EngineShape(capacity=400_000, slots=256)
+    shape = EngineParameters(capacity=400_000, slots=256)
     with RunningProcesses(1, 1, shape, 1.0) as running:
         entry, control = running.site.entries[0], running.site.control[0]
         time.sleep(3)
@@ -349,7 +349,7 @@
 
         def place() -> None:
             known = directory.list_upstreams("s1", "m1")
-            rank_candidates(known, "prefix", lambda n: loads[n], random)
+            rank_upstreams(known, "prefix", lambda n: loads[n], random)
 
         def refresh() -> None:
             catalog.revision += 1
@@ -393,17 +393,17 @@
 
 def time_admission(running: int) -> float:
     """Return microseconds of asking for and giving back a permit with a batch running."""
-    lengths = Lengths()
+    lengths = OutputLengths()
     random = Random(1)
     for _ in range(512):
         lengths.add("r", "m", int(300 * random.lognormvariate(0, 1)))
-    admission = Admission(10_000_000, 1000, lengths, PeakMemory())
+    admission = AdmissionController(10_000_000, 1000, lengths, PeakMemoryPolicy())
 
     def make_work(name: str) -> Work:
         return Work(name, "o", "p", "r", "m", False, 300, 30_000, 100.0)
 
     for i in range(running):
-        assert isinstance(admission.ask(make_work(f"w{i}"), 0.0), Granted)
+        assert isinstance(admission.ask(make_work(f"w{i}"), 0.0), Admitted)
 
     def ask() -> None:
         admission.ask(make_work("x"), 1.0)
--- a/tools/measurespread.py
+++ b/tools/measurespread.py
@@ -19,10 +19,10 @@
 
 from daleroad.codec import encode  # noqa: E402
 from daleroad.dispatch import Attempt  # noqa: E402
-from daleroad.suspects import CRASHES_HELD, Suspicion  # noqa: E402
+from daleroad.suspects import MIN_CRASHES_HELD, Suspicion  # noqa: E402
 from tests.fakes import make_instance, make_job  # noqa: E402
 from tests.test_coordinator import Site, make_document, run_site  # noqa: E402
-from tests.test_spreading import Sites, all_hold  # noqa: E402
+from tests.test_heldrequests import WatchedSite, all_hold  # noqa: E402
 
 ROUNDS = 10
 LIMIT_SECONDS = 60.0
@@ -39,7 +39,7 @@
 async def measure(count: int, site: Site, names: list[str]) -> None:
     """Print how long all of some gateways take."""
     await site.get(names[0]).log.save(make_document(1))
-    sites = Sites(site)
+    sites = WatchedSite(site)
     gateways = sites.add(count)
     await wait_until(partial(lambda: all(g.get_version() for g in gateways)))
     taken: list[float] = []
@@ -47,12 +47,12 @@
         await anyio.sleep(1.0)
         began = anyio.current_time()
         job = replace(make_job(began), body=f"{count} {number}".encode())
-        for seen_by in range(CRASHES_HELD):
+        for seen_by in range(MIN_CRASHES_HELD):
             attempt = Attempt(job, make_instance(100 * number + seen_by), "", 1.0)
-            gateways[seen_by].guard.note_lost(attempt)
+            gateways[seen_by].guard.record_lost(attempt)
         await wait_until(partial(all_hold, gateways, job))
         taken.append(anyio.current_time() - began)
-    ends = tuple(f"i-{number:010x}@1768712629029" for number in range(CRASHES_HELD))
+    ends = tuple(f"i-{number:010x}@1768712629029" for number in range(MIN_CRASHES_HELD))
     size = len(encode(Suspicion("f" * 32, "organisation", "host.example/path/x", ends)))
     print(
         f"{count} gateways: all hold it after {median(taken):.3f} s in the median, "
--- a/tools/soakneeds.py
+++ b/tools/soakneeds.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from daleroad.coldmodel import count_fullest
+from daleroad.coldmodel import count_peak_requests
 from tools.soakledger import Ledger
 
 GATEWAY_HEADER = "x-soak-gateway"
@@ -166,7 +166,7 @@
         match episode.need:
             case Need.LIMIT:
                 late = (at for at, _ in self._list_late(episode, TOLD_SECONDS))
-                most = count_fullest(late, WINDOW_SECONDS)
+                most = count_peak_requests(late, WINDOW_SECONDS)
                 if most > find_allowed(episode.value):
                     yield f"{most} requests in {WINDOW_SECONDS:g} s"
             case Need.REST:
