--- a/src/daleroad/caller.py
+++ b/src/daleroad/caller.py
@@ -13,11 +13,11 @@
 
 from daleroad.calls import parse_problem
 from daleroad.daleroad_pb import LocateAnswer, LocateRequest
-from daleroad.delivery import Delivery, Verdict, parse_frames, split_events
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.links import make_client
 from daleroad.retries import get_backoff
 from daleroad.settings import Tls
+from daleroad.tokensequence import FrameAction, TokenSequence, parse_frames, split_events
 
 _LOCATE = "/daleroad.v1.Locator/Locate"
 _TRIES = 12
@@ -48,7 +48,7 @@
     """Where one answer stands."""
 
     key: str
-    delivery: Delivery | None = None
+    delivery: TokenSequence | None = None
     resumes: int = 0
 
 
@@ -155,7 +155,7 @@
                     return
                 generation = response.headers.get("x-generation", "")
                 if progress.delivery is None or not progress.delivery.next_index:
-                    progress.delivery = Delivery(generation)
+                    progress.delivery = TokenSequence(generation)
                 async for part in _read(response, progress.delivery):
                     yield part
         except httpx.HTTPError as error:
@@ -175,7 +175,9 @@
     )
 
 
-async def _read(response: httpx.Response, delivery: Delivery) -> AsyncGenerator[CallerPart, None]:
+async def _read(
+    response: httpx.Response, delivery: TokenSequence
+) -> AsyncGenerator[CallerPart, None]:
     """Yield the parts of one response; each token once and in order."""
     buffer = bytearray()
     async for chunk in response.aiter_raw():
@@ -183,16 +185,16 @@
             if frame.raw.startswith(b"event: error"):
                 yield parse_problem(frame.raw.rpartition(b"data: ")[2])
                 return
-            match delivery.judge(frame):
-                case Verdict.DELIVER:
+            match delivery.accept(frame):
+                case FrameAction.DELIVER:
                     data = orjson.loads(frame.raw.rpartition(b"data: ")[2])
                     yield Token(frame.index, data["text"])
-                case Verdict.END:
+                case FrameAction.END:
                     yield Whole(delivery.generation, delivery.next_index)
                     return
-                case Verdict.GAP:
+                case FrameAction.GAP:
                     yield Failure(FailureKind.UNREACHABLE, "a gap", Ran.PARTIAL)
                     return
-                case Verdict.DROP:
+                case FrameAction.DROP:
                     pass
     yield Failure(FailureKind.UNREACHABLE, "the stream ended early", Ran.PARTIAL)
--- a/src/daleroad/claiming.py
+++ b/src/daleroad/claimclient.py
@@ -4,7 +4,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from daleroad.claims import (
+from daleroad.claimjournal import (
     Acquire,
     Claim,
     ClaimCommand,
@@ -26,7 +26,7 @@
 _LOOK_TIMEOUT_SECONDS = 1.0
 
 
-class Claims:
+class ClaimClient:
     """Sends commands to the shard of the claim journal that a key hashes to.
 
     :param env: the entry's environment.
@@ -52,7 +52,7 @@
         claim = Claim(organisation, key, digest, entry, upstream, generation, time.time())
         return await self._call(organisation, key, Acquire(claim), _ACQUIRE_TIMEOUT_SECONDS)
 
-    async def look(self, organisation: str, key: str, digest: str) -> ClaimOutcome | Failure:
+    async def read(self, organisation: str, key: str, digest: str) -> ClaimOutcome | Failure:
         """Return the current claim of a key, if any.
 
         :param organisation: owner of the key.
@@ -99,7 +99,7 @@
         )
 
 
-def refuse_unclaimed(failure: Failure) -> Failure:
+def make_unclaimed_failure(failure: Failure) -> Failure:
     """Return the failure for a request whose key could not be claimed.
 
     This attempt was not sent. If the journal did not answer, an earlier attempt with the same key
--- a/src/daleroad/claims.py
+++ b/src/daleroad/claimjournal.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from daleroad.codec import decode, encode, register_union
-from daleroad.defaults import CLAIM_KEEP_SECONDS, CLAIM_MOST
+from daleroad.defaults import CLAIM_RETENTION_SECONDS, MAX_CLAIMS
 from daleroad.errors import Failure, FailureKind, Ran
 
 
@@ -101,12 +101,12 @@
 class ClaimJournal:
     """All claims of one shard, oldest first.
 
-    :param most: maximum number of claims.
-    :param keep_seconds: retention of settled claims.
+    :param max_claims: maximum number of claims.
+    :param retention_seconds: retention of settled claims.
     """
 
-    most: int = CLAIM_MOST
-    keep_seconds: float = CLAIM_KEEP_SECONDS
+    max_claims: int = MAX_CLAIMS
+    retention_seconds: float = CLAIM_RETENTION_SECONDS
     claims: dict[tuple[str, str], Claim] = field(default_factory=dict)
 
     def apply_payload(self, index: int, payload: str) -> Any:
@@ -151,7 +151,7 @@
         self._expire(claim.at)
         claim_key = (claim.organisation, claim.key)
         existing = self.claims.get(claim_key)
-        if existing is None and len(self.claims) >= self.most:
+        if existing is None and len(self.claims) >= self.max_claims:
             failure = Failure(
                 FailureKind.OVERLOADED,
                 "the claim journal has reached its maximum size",
@@ -199,7 +199,7 @@
         """Remove expired claims; running ones are retained for twice as long."""
         while self.claims:
             claim_key, oldest = next(iter(self.claims.items()))
-            keep = self.keep_seconds
+            keep = self.retention_seconds
             if oldest.state is ClaimState.RUNNING:
                 keep *= 2
             if oldest.at + keep > now:
--- a/src/daleroad/control.py
+++ b/src/daleroad/control.py
@@ -21,7 +21,7 @@
     SetUpstream,
 )
 from daleroad.catalogstate import CatalogMachine
-from daleroad.claims import ClaimCommand, ClaimJournal, ClaimOutcome, Look
+from daleroad.claimjournal import ClaimCommand, ClaimJournal, ClaimOutcome, Look
 from daleroad.codec import decode, encode
 from daleroad.daleroad_connect import LocatorASGIApplication, OperatorsASGIApplication
 from daleroad.defaults import GATHER_SECONDS, STOP_KEPT_SECONDS
--- a/src/daleroad/copyschedule.py
+++ b/src/daleroad/copyschedule.py
@@ -8,21 +8,21 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-STOP_MARGIN_SECONDS = 0.28
+MIN_STOP_MARGIN_SECONDS = 0.28
 """Time between the last pre-copy and the engine's end, beyond that of the final copies: one copy to
 another zone may come in between. A run whose final copy misses the end loses its pre-copy too."""
 
-STOP_AFTER_SECONDS = 0.03
+STOP_DELAY_SECONDS = 0.03
 """Time between the last pre-copy and stopping the runs, for the link to become idle."""
 
-DIRECT_MARGIN_SECONDS = 0.03
+MIN_DIRECT_COPY_MARGIN_SECONDS = 0.03
 """Time before the engine's end by which the copy of a run without a pre-copy must be complete; one
 round trip."""
 
-COPY_EACH_SECONDS = 0.015
+COPY_OVERHEAD_SECONDS = 0.015
 """Overhead of each copy beside the transfer of its memory: set-up, the call and its response."""
 
-STOP_EACH_SECONDS = 0.012
+FINAL_COPY_SECONDS = 0.012
 """Time that the final copy of one run takes on the link."""
 
 MIN_HEADROOM_TOKENS = 1000
@@ -46,35 +46,35 @@
 
 
 @dataclass(frozen=True)
-class Room:
+class Destination:
     """A destination engine.
 
-    :param near: whether it is in the same availability zone.
-    :param free: free memory in tokens.
+    :param same_zone: whether it is in the same availability zone.
+    :param free_tokens: free memory in tokens.
     """
 
     id: str
-    near: bool
-    free: float
+    same_zone: bool
+    free_tokens: float
 
 
 @dataclass(frozen=True)
 class Slot:
     """The schedule of one run. Times are in seconds from now.
 
-    :param to: id of the destination.
+    :param destination_id: id of the destination.
     :param start: start of the pre-copy; ``None`` if the run is stopped and then copied whole, which
         its client sees as a pause.
     :param stop: when the run is stopped for its final copy.
     """
 
-    to: str
+    destination_id: str
     start: float | None
     stop: float
 
 
 def schedule_copies(
-    runs: Iterable[RunSize], rooms: Iterable[Room], leaves_in: float, token_seconds: float
+    runs: Iterable[RunSize], rooms: Iterable[Destination], leaves_in: float, token_seconds: float
 ) -> dict[str, Slot]:
     """Return a slot for each run that can be copied in time.
 
@@ -86,8 +86,8 @@
     :param token_seconds: transfer time of one token's memory within the zone.
     """
     ranked = sorted(runs, key=lambda run: (run.tokens, run.id))
-    final_copies = STOP_EACH_SECONDS * len(ranked)
-    latest_end = leaves_in - STOP_MARGIN_SECONDS - final_copies
+    final_copies = FINAL_COPY_SECONDS * len(ranked)
+    latest_end = leaves_in - MIN_STOP_MARGIN_SECONDS - final_copies
     assigned = list(_assign_destinations(ranked, list(rooms), token_seconds))
     starts: dict[str, float] = {}
     clock = 0.0
@@ -96,19 +96,21 @@
             break
         starts[run.id] = clock
         clock += seconds
-    stop = clock + STOP_AFTER_SECONDS
+    stop = clock + STOP_DELAY_SECONDS
     slots = {r.id: Slot(to, starts[r.id], stop) for r, to, _ in assigned if r.id in starts}
     # The remaining time is used for runs that are stopped before their whole copy.
     clock = stop + final_copies
     for run, to, seconds in assigned[len(starts) :]:
-        if clock + seconds > leaves_in - DIRECT_MARGIN_SECONDS:
+        if clock + seconds > leaves_in - MIN_DIRECT_COPY_MARGIN_SECONDS:
             break
         slots[run.id] = Slot(to, None, clock)
         clock += seconds
     return slots
 
 
-def sum_seconds(runs: Iterable[RunSize], rooms: Iterable[Room], token_seconds: float) -> float:
+def sum_copy_seconds(
+    runs: Iterable[RunSize], rooms: Iterable[Destination], token_seconds: float
+) -> float:
     """Return the total duration of the pre-copies of runs, made one at a time.
 
     :param runs: the runs.
@@ -121,7 +123,7 @@
 
 
 def _assign_destinations(
-    ranked: list[RunSize], rooms: list[Room], token_seconds: float
+    ranked: list[RunSize], rooms: list[Destination], token_seconds: float
 ) -> Iterator[tuple[RunSize, str, float]]:
     """Yield each run with its destination's id and the duration of its copy in seconds.
 
@@ -132,13 +134,15 @@
         room = _choose_destination(free.values(), run.tokens + MIN_HEADROOM_TOKENS)
         if room is None:
             return
-        left = room.free - run.tokens - MIN_HEADROOM_TOKENS
-        free[room.id] = Room(room.id, room.near, left)
-        factor = 1.0 if room.near else CROSS_ZONE_FACTOR
-        yield run, room.id, run.tokens * token_seconds * factor + COPY_EACH_SECONDS
+        left = room.free_tokens - run.tokens - MIN_HEADROOM_TOKENS
+        free[room.id] = Destination(room.id, room.same_zone, left)
+        factor = 1.0 if room.same_zone else CROSS_ZONE_FACTOR
+        yield run, room.id, run.tokens * token_seconds * factor + COPY_OVERHEAD_SECONDS
 
 
-def _choose_destination(rooms: Iterable[Room], tokens: int) -> Room | None:
+def _choose_destination(rooms: Iterable[Destination], tokens: int) -> Destination | None:
     """Return a destination: with enough memory if any, then in the same zone, then the freest."""
-    ranked = sorted(rooms, key=lambda r: (r.free < tokens, not r.near, -r.free, r.id))
+    ranked = sorted(
+        rooms, key=lambda r: (r.free_tokens < tokens, not r.same_zone, -r.free_tokens, r.id)
+    )
     return ranked[0] if ranked else None
--- a/src/daleroad/defaults.py
+++ b/src/daleroad/defaults.py
@@ -64,10 +64,10 @@
 STOP_KEPT_SECONDS = 1.0
 """Kept of that for telling callers what is cut off, and the leader that an entry is gone."""
 
-STOP_BEGIN_SECONDS = 0.5
+FIRST_TOKEN_ALLOWANCE_SECONDS = 0.5
 """From its permit to a generation's first token; a prompt's reading (0.4 s) and its way."""
 
-RESUME_TRIES = 6
+MAX_RESUME_TRIES = 6
 """Tries to resume one generation before it ends as partial."""
 
 DEADLINE_SECONDS = 120.0
@@ -103,13 +103,13 @@
 CLAIM_SHARDS = 2
 """Logs over which claims are spread."""
 
-CLAIM_KEEP_SECONDS = 86_400.0
+CLAIM_RETENTION_SECONDS = 86_400.0
 """How long a settled claim is remembered."""
 
-CLAIM_MOST = 50_000
+MAX_CLAIMS = 50_000
 """Claims one shard remembers; beyond it new claims are refused."""
 
-CLAIM_ANSWER_BYTES = 4096
+MAX_CLAIM_ANSWER_BYTES = 4096
 """Largest answer recorded with a claim."""
 
 BODY_BYTES = 1_000_000
@@ -125,7 +125,7 @@
 """Retries allowed beyond the share, to start with."""
 
 BACKOFF_SECONDS = 0.05
-BACKOFF_MAX_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 2.0
 """First and largest delay between retries, before jitter."""
 
 URGENT_RESERVE = 0.1
@@ -312,7 +312,7 @@
 objectives. In 218 streams beside rolled stops the latest first output came after 0.75 objectives;
 under load 5 to 10 % come after one."""
 
-DRAIN_TOKEN_SECONDS = 0.018
+DRAIN_SECONDS_PER_TOKEN = 0.018
 """Time of one token at which a generation must still end before its process does, where its route
 says nothing of pauses: twice the mean. 92 long streams had 8.7 ms in the mean, 11.5 ms at most."""
 
--- a/src/daleroad/dispatch.py
+++ b/src/daleroad/dispatch.py
@@ -25,24 +25,24 @@
 
     :param parts: id and token count of each part, in order; requests may share leading parts.
     :param tokens: token count of the whole prompt.
-    :param most_output: maximum number of output tokens.
+    :param max_output_tokens: maximum number of output tokens.
     """
 
     parts: tuple[tuple[str, int], ...]
     tokens: int
-    most_output: int
+    max_output_tokens: int
 
     def ends_soon(self) -> bool:
         """Return whether the generation is estimated as too short to be worth a migration."""
-        return self.guess_seconds() < MOVE_WORTH_SECONDS
+        return self.estimate_seconds() < MOVE_WORTH_SECONDS
 
-    def guess_seconds(self) -> float:
+    def estimate_seconds(self) -> float:
         """Estimate the seconds that the maximum output takes on a half-full engine."""
-        return self.most_output * TOKEN_SECONDS
+        return self.max_output_tokens * TOKEN_SECONDS
 
 
 @dataclass(frozen=True)
-class Job:
+class ClientRequest:
     """One request as received from a client. Times are on the event loop's clock.
 
     :param id: request id that the client chose; the same for all of this gateway's attempts.
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Source:
+class CopySource:
     """A copy of a generation's memory, from which another engine can resume it.
 
     The engine that a copy is made from is its origin.
@@ -93,24 +93,25 @@
     :param rank: priority of the request on an engine; ``None`` to state none.
     :param source: the copy to resume from, for a generation that was copied; else ``None``.
     :param backup: an engine that receives copies of the generation while it runs, if any.
-    :param own_connection: whether to open a new connection instead of reusing an idle one. A
+    :param new_connection: whether to open a new connection instead of reusing an idle one. A
         failure to connect proves that the request did not run. If an idle connection turns out to
         be broken only after the request was sent on it, the request may have run.
-    :param silence: seconds without any response after which the upstream is given up.
+    :param silence_timeout_seconds: seconds without any response after which the upstream is given
+        up.
     :param last_event: id of the last event that the client has received, for a stream that is
         restarted after it; empty to pass on the client's own header. That of ``source``
         overrides it.
     """
 
-    job: Job
+    job: ClientRequest
     instance: Instance
     organisation: str
     seconds: float
     rank: int | None = None
-    source: Source | None = None
+    source: CopySource | None = None
     backup: Instance | None = None
-    own_connection: bool = False
-    silence: float = SILENCE_SECONDS
+    new_connection: bool = False
+    silence_timeout_seconds: float = SILENCE_SECONDS
     last_event: str = ""
 
 
@@ -118,13 +119,13 @@
 class NotRun:
     """The request did not run on the upstream and never will.
 
-    :param gone: whether the address now belongs to another instance.
+    :param address_reused: whether the address now belongs to another instance.
     :param sent: whether any byte may have reached the upstream.
     :param held: whether the gateway itself refused to send it.
     """
 
     reason: str
-    gone: bool = False
+    address_reused: bool = False
     sent: bool = True
     held: bool = False
 
@@ -150,7 +151,7 @@
 
 
 @dataclass(frozen=True)
-class Piece:
+class StreamEvent:
     """One complete event of a stream; ``event`` is its id, or empty."""
 
     data: bytes
@@ -163,7 +164,7 @@
     status: int
     headers: Headers
 
-    def pieces(self) -> AsyncIterator[Piece | Lost]:
+    def events(self) -> AsyncIterator[StreamEvent | Lost]:
         """Yield complete events, then :class:`Lost` if the stream was cut."""
 
     async def close(self) -> None:
@@ -178,11 +179,11 @@
     """A generation's memory was copied to the destination engine.
 
     :param handle: id of the copy.
-    :param made: number of events generated so far, as the origin reports it.
+    :param events_generated: number of events generated so far, as the origin reports it.
     """
 
     handle: str
-    made: int
+    events_generated: int
 
 
 class CopyFault(StrEnum):
@@ -210,12 +211,12 @@
 class EngineReport:
     """The status that an engine reports.
 
-    :param leaves_in: seconds until the engine stops, if it knows.
+    :param stops_in_seconds: seconds until the engine stops, if it knows.
     :param runs: the running generations.
     :param born: start time of the reporting process, in milliseconds since 1970; 0 if unknown.
     """
 
-    leaves_in: float | None
+    stops_in_seconds: float | None
     runs: tuple[RunSize, ...]
     born: int = 0
 
@@ -227,7 +228,7 @@
         """Send a request and return its response, or the event stream that it started."""
 
     async def copy(
-        self, job: Job, source: Instance, destination: Instance, final: bool
+        self, job: ClientRequest, source: Instance, destination: Instance, final: bool
     ) -> Copied | NotCopied:
         """Copy a running generation's memory from its origin; a final copy stops it first.
 
--- a/src/daleroad/dispatchguard.py
+++ b/src/daleroad/dispatchguard.py
@@ -20,18 +20,18 @@
 from daleroad.backpressure import UpstreamBackoffs
 from daleroad.dispatch import (
     Attempt,
+    ClientRequest,
     Copied,
     CopyFault,
     Dispatcher,
     EngineReport,
     Headers,
-    Job,
     Lost,
     NotCopied,
     NotRun,
-    Piece,
     Reply,
     Stream,
+    StreamEvent,
     Whole,
 )
 from daleroad.errors import Failure
@@ -160,7 +160,7 @@
             attempt
         )
 
-    def get_standing(self, job: Job, organisation: str) -> Standing:
+    def get_standing(self, job: ClientRequest, organisation: str) -> Standing:
         """Return whether and how a request may run.
 
         :param job: the request.
@@ -241,10 +241,10 @@
         self._attempt = attempt
         self._guard = guard
 
-    async def pieces(self) -> AsyncIterator[Piece | Lost]:
+    async def events(self) -> AsyncIterator[StreamEvent | Lost]:
         """Yield complete events, then :class:`Lost` if the stream was interrupted."""
         begun = False
-        async for piece in self._stream.pieces():
+        async for piece in self._stream.events():
             if isinstance(piece, Lost):
                 self._guard.record_lost(self._attempt)
                 yield piece
@@ -297,7 +297,7 @@
         return reply
 
     async def copy(
-        self, job: Job, source: Instance, destination: Instance, final: bool
+        self, job: ClientRequest, source: Instance, destination: Instance, final: bool
     ) -> Copied | NotCopied:
         """Copy a running generation's memory; a final copy stops the generation first."""
         closed = self._guard.find_unavailable_reason(destination)
--- a/src/daleroad/draining.py
+++ b/src/daleroad/draining.py
@@ -10,7 +10,7 @@
     CLIENT_RETURN_SHARE,
     DRAIN_OBJECTIVES,
     DRAIN_RETRY_SECONDS,
-    DRAIN_TOKEN_SECONDS,
+    DRAIN_SECONDS_PER_TOKEN,
     GATEWAY_RESTART_SECONDS,
     LOOKUP_KEPT_SECONDS,
 )
@@ -22,15 +22,15 @@
 
 
 @dataclass(frozen=True)
-class Need:
+class DurationEstimate:
     """Upper estimate of a request's duration, in seconds.
 
-    :param begin: time to the start of the response.
-    :param finish: time from the start to the end of the response.
+    :param to_start: time to the start of the response.
+    :param to_end: time from the start to the end of the response.
     """
 
-    begin: float
-    finish: float
+    to_start: float
+    to_end: float
 
     def fits(self, left: float, allowed: float) -> bool:
         """Return whether a request ends before the process does, even at the full estimate.
@@ -38,24 +38,26 @@
         :param left: seconds until the process exits.
         :param allowed: seconds until the request's deadline.
         """
-        return min(self.begin + self.finish, allowed) <= left
+        return min(self.to_start + self.to_end, allowed) <= left
 
     def may_fit(self, left: float) -> bool:
         """Return whether a request of typical duration ends before the process does.
 
         :param left: seconds until the process exits.
         """
-        return (self.begin + self.finish) / _MIN_ESTIMATE_RATIO <= left
+        return (self.to_start + self.to_end) / _MIN_ESTIMATE_RATIO <= left
 
-    def find_latest_begin(self, ends_at: float) -> float:
+    def find_latest_start(self, ends_at: float) -> float:
         """Return the latest start of a response that typically ends before the process does.
 
         :param ends_at: when the process exits.
         """
-        return ends_at - self.finish / _MIN_ESTIMATE_RATIO
+        return ends_at - self.to_end / _MIN_ESTIMATE_RATIO
 
 
-def estimate_need(route: RouteRule, prompt: Prompt | None, event_tokens: int) -> Need:
+def estimate_duration(
+    route: RouteRule, prompt: Prompt | None, event_tokens: int
+) -> DurationEstimate:
     """Return the estimated duration of a request; a part without any basis is infinite.
 
     A stream may pause before each event for as long as its route allows. A fixed time per token is
@@ -67,14 +69,14 @@
     """
     begin = DRAIN_OBJECTIVES * route.objective if route.objective else float("inf")
     if route.repeat is not Repeat.STREAM:
-        return Need(begin, 0.0)
+        return DurationEstimate(begin, 0.0)
     if prompt is None:
-        return Need(begin, float("inf"))
-    token_seconds = route.pause / event_tokens if route.pause else DRAIN_TOKEN_SECONDS
-    return Need(begin, prompt.most_output * token_seconds)
+        return DurationEstimate(begin, float("inf"))
+    token_seconds = route.pause / event_tokens if route.pause else DRAIN_SECONDS_PER_TOKEN
+    return DurationEstimate(begin, prompt.max_output_tokens * token_seconds)
 
 
-def find_return(left: float, others: int, gateways: int) -> float:
+def find_retry_after(left: float, others: int, gateways: int) -> float:
     """Return the Retry-After time in seconds for a request that a draining gateway refuses.
 
     :param left: seconds until the process exits.
@@ -88,7 +90,7 @@
     return DRAIN_RETRY_SECONDS if 2 * others >= gateways else LOOKUP_KEPT_SECONDS
 
 
-def takes(need: Need, left: float, allowed: float, back: float) -> bool:
+def should_accept(need: DurationEstimate, left: float, allowed: float, retry_after: float) -> bool:
     """Return whether a draining gateway should accept a request.
 
     One that ends in time only if its duration is typical is accepted if its client could not retry:
@@ -97,8 +99,8 @@
     :param need: estimated duration of the request.
     :param left: seconds until the process exits.
     :param allowed: seconds until the request's deadline.
-    :param back: Retry-After time in seconds.
+    :param retry_after: Retry-After time in seconds.
     """
     if need.fits(left, allowed):
         return True
-    return back > CLIENT_RETURN_SHARE * allowed and need.may_fit(left)
+    return retry_after > CLIENT_RETURN_SHARE * allowed and need.may_fit(left)
--- a/src/daleroad/relay.py
+++ b/src/daleroad/enginestream.py
@@ -15,17 +15,17 @@
 
 from daleroad.calls import parse_problem
 from daleroad.codec import decode, encode
-from daleroad.defaults import CALL_TIMEOUT_SECONDS, RESUME_TRIES
-from daleroad.delivery import Delivery, Verdict, parse_frames, split_events
+from daleroad.defaults import CALL_TIMEOUT_SECONDS, MAX_RESUME_TRIES
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
 from daleroad.links import Links
 from daleroad.messages import EngineCompletion, Forbidden
 from daleroad.retries import get_backoff
+from daleroad.tokensequence import FrameAction, TokenSequence, parse_frames, split_events
 
 
 @dataclass(frozen=True)
-class Piece:
+class TokenChunk:
     """Complete events for the caller and the number of tokens in them."""
 
     raw: bytes
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class StreamEnded:
     """The generation is complete; ``raw`` is its end event."""
 
     raw: bytes
@@ -41,13 +41,13 @@
 
 
 @dataclass(frozen=True)
-class Broken:
+class StreamFailed:
     """The generation can't be resumed."""
 
     failure: Failure
 
 
-Part = Piece | Ended | Broken
+StreamPart = TokenChunk | StreamEnded | StreamFailed
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
 
 
 @dataclass
-class Relay:
+class EngineStream:
     """Reads one generation from an engine.
 
     :param links: HTTP clients.
@@ -76,13 +76,13 @@
 
     links: Links
     address: str
-    delivery: Delivery
+    delivery: TokenSequence
     stall_seconds: float
     urgent: bool
     random: Random
     resumes: int = 0
 
-    async def start(self, completion: EngineCompletion) -> AsyncGenerator[Part, None]:
+    async def start(self, completion: EngineCompletion) -> AsyncGenerator[StreamPart, None]:
         """Dispatch a generation and yield its parts.
 
         :param completion: the request for the engine; it is sent once and never retried.
@@ -92,7 +92,7 @@
             async for part in parts:
                 yield part
 
-    async def resume(self) -> AsyncGenerator[Part, None]:
+    async def resume(self) -> AsyncGenerator[StreamPart, None]:
         """Yield the remaining parts of a generation that was dispatched earlier."""
         async with aclosing(self._read_with_resumes(self._request_resume())) as parts:
             async for part in parts:
@@ -104,7 +104,7 @@
 
     async def _read_with_resumes(
         self, source: AsyncGenerator[bytes | _Interruption, None]
-    ) -> AsyncGenerator[Part, None]:
+    ) -> AsyncGenerator[StreamPart, None]:
         tries_without_progress = 0
         while True:
             index_before = self.delivery.next_index
@@ -117,13 +117,13 @@
                         interruption = part
                         break
                     yield part
-                    if isinstance(part, Ended):
+                    if isinstance(part, StreamEnded):
                         return
             tries_without_progress = (
                 0 if self.delivery.next_index > index_before else tries_without_progress + 1
             )
-            if interruption.final or tries_without_progress > RESUME_TRIES:
-                yield Broken(interruption.failure)
+            if interruption.final or tries_without_progress > MAX_RESUME_TRIES:
+                yield StreamFailed(interruption.failure)
                 return
             await anyio.sleep(get_backoff(tries_without_progress, self.random))
             self.resumes += 1
@@ -136,7 +136,7 @@
 
     async def _assemble_parts(
         self, source: AsyncGenerator[bytes | _Interruption, None]
-    ) -> AsyncGenerator[Piece | Ended | _Interruption, None]:
+    ) -> AsyncGenerator[TokenChunk | StreamEnded | _Interruption, None]:
         """Turn response chunks into parts for the caller, up to the end or the first gap."""
         buffer = bytearray()
         async with aclosing(source) as chunks:
@@ -145,21 +145,21 @@
                     yield chunk
                     return
                 delivered: list[bytes] = []
-                verdict: Verdict | None = None
+                verdict: FrameAction | None = None
                 end_event = b""
                 for frame in parse_frames(split_events(buffer, chunk)):
-                    verdict = self.delivery.judge(frame)
-                    if verdict is Verdict.DELIVER:
+                    verdict = self.delivery.accept(frame)
+                    if verdict is FrameAction.DELIVER:
                         delivered.append(frame.raw)
-                    elif verdict is not Verdict.DROP:
+                    elif verdict is not FrameAction.DROP:
                         end_event = frame.raw
                         break
                 if delivered:
-                    yield Piece(b"\n\n".join(delivered) + b"\n\n", len(delivered))
-                if verdict is Verdict.END:
-                    yield Ended(end_event + b"\n\n", self.delivery.next_index)
+                    yield TokenChunk(b"\n\n".join(delivered) + b"\n\n", len(delivered))
+                if verdict is FrameAction.END:
+                    yield StreamEnded(end_event + b"\n\n", self.delivery.next_index)
                     return
-                if verdict is Verdict.GAP:
+                if verdict is FrameAction.GAP:
                     yield _Interruption(
                         Failure(FailureKind.UPSTREAM_LOST, "gap in the token indexes", Ran.UNKNOWN)
                     )
@@ -226,7 +226,7 @@
             yield chunk
 
 
-async def forbid(links: Links, address: str, generation: str) -> Forbidden | Failure:
+async def cancel_generation(links: Links, address: str, generation: str) -> Forbidden | Failure:
     """Tell an engine to cancel a generation, or to reject it if it arrives later.
 
     :param links: HTTP clients.
--- a/src/daleroad/entry.py
+++ b/src/daleroad/entry.py
@@ -28,7 +28,7 @@
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind
 from daleroad.events import Event, log_event
-from daleroad.generations import Generations
+from daleroad.generations import GenerationHandler
 from daleroad.links import Links
 from daleroad.location import pick_addresses
 from daleroad.messages import (
@@ -73,7 +73,7 @@
         self.limits = OrganisationLimits(self.env)
         self.env.follower.on_change = self._refresh
         self.holding = RequestHolds(self.env)
-        self._generations = Generations(self.env, self.stewardship, self.limits, self.holding)
+        self._generations = GenerationHandler(self.env, self.stewardship, self.limits, self.holding)
         self._plain = PlainCalls(self.env, self.holding)
         self._requests = 0
         self._accepting = True
@@ -108,7 +108,7 @@
         settings = self.env.settings
         self.env.follower.state = State.DRAINING
         self.env.ends_at = anyio.current_time() + settings.stop - STOP_KEPT_SECONDS
-        self._generations.note_end()
+        self._generations.apply_shutdown_deadline()
         with anyio.CancelScope(deadline=self.env.ends_at):
             await anyio.sleep(settings.locate_keep + settings.follow)
             self._accepting = False
@@ -124,7 +124,7 @@
         self._stop.set()
 
     def _refresh(self) -> None:
-        self.stewardship.refresh()
+        self.stewardship.update_assignments()
         self.limits.note_catalog_change()
 
     def _make_router(self) -> Router:
@@ -202,7 +202,7 @@
         asked = self._parse_peer(request, PermitRequest)
         if isinstance(asked, Failure):
             return asked
-        answer = await self.stewardship.decide(asked)
+        answer = await self.stewardship.decide_permit(asked)
         if isinstance(answer, PermitAnswer):
             return Response(200, encode(answer))
         return answer
@@ -211,14 +211,14 @@
         end = self._parse_peer(request, PermitEnd)
         if isinstance(end, Failure):
             return end
-        self.stewardship.end_locally(end)
+        self.stewardship.release_permit(end)
         return Response(204)
 
     async def _serve_restore(self, request: Request) -> Answer:
         handover = self._parse_peer(request, Handover)
         if isinstance(handover, Failure):
             return handover
-        self.stewardship.restore(handover)
+        self.stewardship.restore_work(handover)
         return Response(204)
 
     async def _serve_slot(self, request: Request) -> Answer:
@@ -312,7 +312,7 @@
             tuple(request.models),
             request.checks_fencing,
         )
-        steward = self._entry.stewardship.announce(upstream)
+        steward = self._entry.stewardship.handle_announcement(upstream)
         if steward is None:
             raise ConnectError(Code.UNAVAILABLE, "no steward is known yet")
         return AnnounceAnswer(steward=steward, report_seconds=env.settings.report)
@@ -324,7 +324,7 @@
         self._authenticate(ctx)
         produced = {work.generation: work.produced for work in request.running}
         load = UpstreamReport(request.used, request.preemptions, produced)
-        is_known = self._entry.stewardship.tell(
+        is_known = self._entry.stewardship.handle_report(
             request.upstream, load, request.draining, request.left, list(request.models)
         )
         return ReportAnswer(announce_again=not is_known)
--- a/src/daleroad/fingerprints.py
+++ b/src/daleroad/fingerprints.py
@@ -7,7 +7,7 @@
 
 from hashlib import sha256
 
-from daleroad.dispatch import Job
+from daleroad.dispatch import ClientRequest
 
 FINGERPRINT_HEX_DIGITS = 32
 """Length of a fingerprint: 128 bits, so that a request can't be forged to match a given one."""
@@ -15,7 +15,7 @@
 _LENGTH_PREFIX_BYTES = 8
 
 
-def fingerprint_job(job: Job, organisation: str) -> str:
+def fingerprint_job(job: ClientRequest, organisation: str) -> str:
     """Return the fingerprint of a gateway's request.
 
     :param job: the request.
--- a/src/daleroad/forwarding.py
+++ b/src/daleroad/forwarding.py
@@ -4,7 +4,7 @@
 if the previous one certainly did not run it, or if its route allows it to run more than once. The
 route's attempt limit covers the attempts that may have run, and each retry takes from the budget
 that all gateways share; an attempt that reached no upstream counts against neither. Restarts of a
-started stream are decided in :mod:`daleroad.runs`, which takes from the same budget.
+started stream are decided in :mod:`daleroad.streams`, which takes from the same budget.
 """
 
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -25,8 +25,8 @@
 )
 from daleroad.dispatch import (
     Attempt,
+    ClientRequest,
     Headers,
-    Job,
     Lost,
     NotRun,
     Prompt,
@@ -34,7 +34,7 @@
     Stream,
     Whole,
 )
-from daleroad.draining import Need, estimate_need, find_return, takes
+from daleroad.draining import DurationEstimate, estimate_duration, find_retry_after, should_accept
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
 from daleroad.fingerprints import fingerprint_job
@@ -42,13 +42,13 @@
 from daleroad.instances import Instance
 from daleroad.metrics import RequestMetrics
 from daleroad.routing import Repeat, RouteRule, RoutingTable, ServiceRule
-from daleroad.runs import Run, Runs, Tries
 from daleroad.selection import InsufficientMemory
+from daleroad.streams import RetryState, StreamRegistry, StreamRun
 from daleroad.suspects import TRIAL_INTERVAL_SECONDS, Standing
 
 
 @dataclass(frozen=True)
-class Flow:
+class StreamResponse:
     """A streaming response: complete events, then a failure if it was cut and not resumed.
 
     :param deadline: when the response must be complete.
@@ -62,7 +62,7 @@
     close: Callable[[], Awaitable[None]]
 
 
-Outcome = Whole | Flow | Failure
+Outcome = Whole | StreamResponse | Failure
 
 
 @dataclass
@@ -81,7 +81,7 @@
     :param reached_upstream: whether the last attempt may have reached an upstream.
     """
 
-    job: Job
+    job: ClientRequest
     table: RoutingTable
     route: RouteRule
     service: ServiceRule
@@ -89,7 +89,7 @@
     rank: int
     deadline: float
     response_deadline: float
-    need: Need
+    need: DurationEstimate
     tried_ids: dict[str, None] = field(default_factory=dict)
     possible_runs: int = 0
     sends: int = 0
@@ -105,13 +105,13 @@
     :param metrics: request metrics.
     """
 
-    def __init__(self, gateway: Gateway, runs: Runs, metrics: RequestMetrics) -> None:
+    def __init__(self, gateway: Gateway, runs: StreamRegistry, metrics: RequestMetrics) -> None:
         self._gateway = gateway
         self._metrics = metrics
         self._runs = runs
         self._started_at = anyio.current_time()
 
-    async def serve(self, job: Job) -> Outcome:
+    async def serve(self, job: ClientRequest) -> Outcome:
         """Forward a request and return its response, stream or failure.
 
         :param job: the request.
@@ -124,7 +124,7 @@
         self._log_outcome(job, state, outcome)
         return outcome
 
-    def _resolve_request(self, job: Job) -> _RequestState | Failure:
+    def _resolve_request(self, job: ClientRequest) -> _RequestState | Failure:
         gateway = self._gateway
         table = gateway.table
         if table is None or gateway.is_outdated():
@@ -135,7 +135,7 @@
             return route
         organisation, rank = "", route.rank
         if table.config.organisations and not route.public:
-            identified = table.identify(job.key)
+            identified = table.find_organisation(job.key)
             if isinstance(identified, Failure):
                 return identified
             organisation = identified.name
@@ -143,7 +143,7 @@
         service = table.services[table.pick_service(route, gateway.random.random())]
         deadline = min(job.deadline, job.received_at + route.timeout)
         event_tokens = service.engine.event_tokens if service.engine else 1
-        need = estimate_need(route, job.prompt, event_tokens)
+        need = estimate_duration(route, job.prompt, event_tokens)
         response_deadline = deadline - SPARE_SECONDS
         return _RequestState(
             job, table, route, service, organisation, rank, deadline, response_deadline, need
@@ -155,16 +155,16 @@
         return round(max(NO_CONFIG_RETRY_SECONDS, START_SECONDS - uptime), 2)
 
     async def _run_attempts(self, state: _RequestState) -> Outcome:
-        self._gateway.budget.note_first(state.service.name, anyio.current_time())
+        self._gateway.budget.record_first_attempt(state.service.name, anyio.current_time())
         while True:
             now = anyio.current_time()
             if now >= state.response_deadline:
-                return self._make_final_outcome(state, "the time is over")
+                return self._make_final_outcome(state, "the deadline has passed")
             refusal = self._refuse_if_draining(state, now)
             if refusal is not None:
                 return refusal
             if now >= self._find_start_deadline(state):
-                return self._make_final_outcome(state, "this gateway stops")
+                return self._make_final_outcome(state, "the gateway is shutting down")
             standing = self._gateway.guard.get_standing(state.job, state.organisation)
             if standing is Standing.HELD or not await self._may_send(state, standing):
                 return self._make_held_failure(state)
@@ -173,7 +173,7 @@
                 await anyio.sleep(MEMORY_WAIT_PAUSE_SECONDS)
                 continue
             if instance is None:
-                return self._make_final_outcome(state, "no upstream is left")
+                return self._make_final_outcome(state, "no upstream is available")
             state.sends += 1
             outcome = await self._send_attempt(
                 state, instance, state.response_deadline - anyio.current_time()
@@ -181,7 +181,7 @@
             if outcome is not None:
                 return outcome
             if not self._may_retry(state):
-                return self._make_final_outcome(state, "no repeat is allowed")
+                return self._make_final_outcome(state, "no further retry is allowed")
 
     async def _pick_instance(
         self, state: _RequestState, standing: Standing
@@ -211,7 +211,7 @@
         """Return whether this gateway may send the request; in a trial only one gateway may."""
         if standing is not Standing.TRIAL:
             return True
-        return await self._gateway.may_try(fingerprint_job(state.job, state.organisation))
+        return await self._gateway.acquire_trial(fingerprint_job(state.job, state.organisation))
 
     def _make_held_failure(self, state: _RequestState) -> Failure:
         """Return the failure for a request that is held, or whose trial was not granted.
@@ -247,8 +247,8 @@
             seconds,
             rank,
             backup=backup,
-            own_connection=state.route.repeat is Repeat.STREAM,
-            silence=state.route.find_silence(),
+            new_connection=state.route.repeat is Repeat.STREAM,
+            silence_timeout_seconds=state.route.get_silence_timeout(),
         )
         unread_tokens = state.job.prompt.tokens if state.job.prompt else 0
         gateway.loads.add_load(instance, 1, tokens, unread_tokens)
@@ -257,7 +257,7 @@
         streaming = False
         try:
             start_by = self._find_start_deadline(state)
-            with gateway.give_up_at(start_by) as scope:
+            with gateway.limit_attempt(start_by) as scope:
                 reply = await gateway.dispatcher.send(attempt)
                 if isinstance(reply, NotRun | Lost | Whole):
                     return self._handle_reply(state, instance, reply)
@@ -267,7 +267,7 @@
             state.failed_response = None
             draining = scope.deadline < state.response_deadline
             if draining:
-                return Failure(FailureKind.DRAINING, "this gateway stops", Ran.UNKNOWN)
+                return Failure(FailureKind.DRAINING, "the gateway is shutting down", Ran.UNKNOWN)
             gateway.selector.record_result(instance, False)
             return Failure(FailureKind.DEADLINE, f"{instance.id} took too long", Ran.UNKNOWN)
         finally:
@@ -280,25 +280,25 @@
     def _refuse_if_draining(self, state: _RequestState, now: float) -> Failure | None:
         """Return a refusal if a draining gateway should not accept the request, else ``None``.
 
-        :func:`takes` decides from the request's estimated duration. A request that may have run on
+        :func:`should_accept` decides from the request's estimated duration. A request that may have run on
         an upstream is never refused here.
         """
         gateway = self._gateway
         if gateway.serving or state.possible_runs:
             return None
-        left = gateway.ends_at - LAST_ANSWER_SECONDS - now
-        retry_after = find_return(left, gateway.others, gateway.selector.gateways)
-        if takes(state.need, left, state.response_deadline - now, retry_after):
+        left = gateway.exits_at - LAST_ANSWER_SECONDS - now
+        retry_after = find_retry_after(left, gateway.other_gateways, gateway.selector.gateways)
+        if should_accept(state.need, left, state.response_deadline - now, retry_after):
             return None
         reason = "this gateway stops before the response could be complete"
         return Failure(FailureKind.DRAINING, reason, Ran.NO, retry_after)
 
     def _find_start_deadline(self, state: _RequestState) -> float:
         """Return the latest start of a response that should still end before the gateway exits."""
-        respond_by = self._gateway.ends_at - LAST_ANSWER_SECONDS
+        respond_by = self._gateway.exits_at - LAST_ANSWER_SECONDS
         if state.response_deadline <= respond_by:
             return state.response_deadline
-        return min(state.response_deadline, state.need.find_latest_begin(respond_by))
+        return min(state.response_deadline, state.need.find_latest_start(respond_by))
 
     def _make_run(
         self,
@@ -307,12 +307,14 @@
         stream: Stream,
         tokens: int,
         backup: Instance | None,
-    ) -> Run:
+    ) -> StreamRun:
         """Return the state of a started stream, with the limits for resuming it after a cut."""
         max_runs = state.route.attempts if state.route.resumable else 0
-        tries = Tries(set(state.tried_ids), max_runs, state.possible_runs + 1, state.need)
+        tries = RetryState(set(state.tried_ids), max_runs, state.possible_runs + 1, state.need)
         max_pause = state.route.pause
-        return Run(attempt, stream, state.deadline, tokens, backup, tries=tries, pause=max_pause)
+        return StreamRun(
+            attempt, stream, state.deadline, tokens, backup, tries=tries, max_pause=max_pause
+        )
 
     def _handle_reply(
         self, state: _RequestState, instance: Instance, reply: Reply
@@ -322,7 +324,7 @@
                 self._log_failed_attempt(state, instance, "not run", reason)
                 state.reached_upstream = sent
                 if gone:
-                    self._gateway.note_replaced(instance)
+                    self._gateway.mark_replaced(instance)
                 elif not sent and not held:
                     self._gateway.selector.record_connect_failure(instance)
                 return None
@@ -354,7 +356,7 @@
         if state.possible_runs >= max(1, state.route.attempts):
             return False
         gateway = self._gateway
-        return gateway.take_repeat(state.service.name)
+        return gateway.take_retry(state.service.name)
 
     def _make_final_outcome(self, state: _RequestState, reason: str) -> Outcome:
         """Return the final outcome of a request that is not sent again."""
@@ -370,7 +372,7 @@
         )
         return Failure(FailureKind.NO_UPSTREAM, reason, Ran.NO, retry_after)
 
-    def _start_stream(self, run: Run) -> Flow:
+    def _start_stream(self, run: StreamRun) -> StreamResponse:
         runs = self._runs
         stream = run.stream
         runs.open(run)
@@ -378,7 +380,7 @@
         async def close() -> None:
             await runs.close(run)
 
-        return Flow(stream.status, stream.headers, runs.deliver(run), run.deadline, close)
+        return StreamResponse(stream.status, stream.headers, runs.deliver(run), run.deadline, close)
 
     def _log_failed_attempt(
         self,
@@ -402,7 +404,9 @@
             heartbeat_age=round(gateway.fleet.get_age(instance.id, anyio.current_time()), 3),
         )
 
-    def _log_outcome(self, job: Job, state: _RequestState | None, outcome: Outcome) -> None:
+    def _log_outcome(
+        self, job: ClientRequest, state: _RequestState | None, outcome: Outcome
+    ) -> None:
         seconds = anyio.current_time() - job.received_at
         retry_policy = state.route.repeat.value if state else "unrouted"
         fields: dict[str, object] = {"request": job.id, "seconds": round(seconds, 4)}
@@ -416,7 +420,7 @@
                 "config": state.table.config.version,
             }
         if not self._gateway.serving:
-            left = self._gateway.ends_at - job.received_at
+            left = self._gateway.exits_at - job.received_at
             fields["left_at_arrival"] = round(left, 3)
         result = outcome.kind.value if isinstance(outcome, Failure) else str(outcome.status)
         sends = state.sends if state else 0
@@ -424,11 +428,11 @@
         match outcome:
             case Failure(kind, reason, ran):
                 fields |= {"failure": kind.value, "reason": reason, "ran": ran.value}
-                heard_age = round(anyio.current_time() - self._gateway.heard_at, 3)
+                heard_age = round(anyio.current_time() - self._gateway.last_heard_at, 3)
                 log_event(Event.REQUEST_REFUSED, **fields, heard_age=heard_age)
             case Whole(status):
                 log_event(Event.REQUEST_ANSWERED, **fields, status=status)
-            case Flow(status):
+            case StreamResponse(status):
                 upstream = list(state.tried_ids)[-1] if state else ""
                 log_event(Event.STREAM_BEGUN, **fields, status=status, upstream=upstream)
 
@@ -440,4 +444,4 @@
 
     :param prompt: the request's prompt, if it has one.
     """
-    return prompt.tokens + prompt.most_output // 2 if prompt else 0
+    return prompt.tokens + prompt.max_output_tokens // 2 if prompt else 0
--- a/src/daleroad/gateway.py
+++ b/src/daleroad/gateway.py
@@ -1,6 +1,6 @@
 """The shared state of one gateway: routing table, known upstreams and retry budget.
 
-Request handling is in :mod:`daleroad.forwarding`, stream delivery in :mod:`daleroad.runs`.
+Request handling is in :mod:`daleroad.forwarding`, stream delivery in :mod:`daleroad.streams`.
 """
 
 from collections.abc import Awaitable, Callable, Coroutine, Iterator
@@ -41,9 +41,9 @@
     :param options: start-up options.
     :param dispatcher: sends requests to upstreams.
     :param random: random source for choosing between equal upstreams.
-    :param others: number of other gateways that accept clients.
-    :param ends_at: earliest time at which the process exits, on the runtime's clock; infinite until
-        a drain begins.
+    :param other_gateways: number of other gateways that accept clients.
+    :param exits_at: earliest time at which the process exits, on the runtime's clock; infinite
+        until a drain begins.
     """
 
     options: GatewayOptions
@@ -51,14 +51,14 @@
     random: Random
     fleet: Fleet = field(init=False)
     table: RoutingTable | None = None
-    others: int = 1
-    heard_at: float = float("-inf")
+    other_gateways: int = 1
+    last_heard_at: float = float("-inf")
     serving: bool = True
-    ends_at: float = float("inf")
+    exits_at: float = float("inf")
     open_requests: int = 0
     on_leaving: Callable[[Instance], None] = lambda instance: None
-    on_news: Callable[[], None] = lambda: None
-    ask_trial: TrialCallback | None = None
+    on_update: Callable[[], None] = lambda: None
+    request_trial: TrialCallback | None = None
     _attempt_scopes: set[anyio.CancelScope] = field(default_factory=set)
     _leaving_since: dict[str, float] = field(default_factory=dict)
     _tasks: TaskGroup | None = None
@@ -67,9 +67,9 @@
         options = self.options
         self.fleet = Fleet(options.heartbeat)
         self.suspects = Suspects()
-        self.news: Outbox[Suspicion] = Outbox()
-        self.upstream_news: Outbox[str] = Outbox()
-        self.guard = Guard(self.suspects, self.fleet, self.tell)
+        self.suspicion_outbox: Outbox[Suspicion] = Outbox()
+        self.upstream_outbox: Outbox[str] = Outbox()
+        self.guard = Guard(self.suspects, self.fleet, self.publish_suspicion)
         self.dispatcher = GuardedDispatcher(self.dispatcher, self.guard)
         self.budget = WindowBudget(options.retry_ratio, options.retry_slack, options.retry_window)
         self.configured = anyio.Event()
@@ -79,13 +79,13 @@
         )
         self.guard.request_grant_callback = self.selector.request_grant
 
-    def tell(self, suspicion: Suspicion) -> None:
+    def publish_suspicion(self, suspicion: Suspicion) -> None:
         """Queue an update about a suspected request for the coordinators and trigger sending.
 
         :param suspicion: the update.
         """
-        self.news.add(suspicion)
-        self.on_news()
+        self.suspicion_outbox.add(suspicion)
+        self.on_update()
 
     def start(self, tasks: TaskGroup) -> None:
         """Set the task group in which :meth:`spawn` starts background tasks.
@@ -117,16 +117,16 @@
         :param ends_at: earliest time at which the process exits, on the runtime's clock.
         """
         self.serving = False
-        self.ends_at = ends_at
+        self.exits_at = ends_at
         for scope in self._attempt_scopes:
             scope.deadline = min(scope.deadline, ends_at - LAST_ANSWER_SECONDS)
 
     def end_drain(self) -> None:
         """Set the exit time to now, possibly earlier than announced; new requests are refused."""
-        self.ends_at = anyio.current_time()
+        self.exits_at = anyio.current_time()
 
     @contextmanager
-    def give_up_at(self, time: float) -> Iterator[anyio.CancelScope]:
+    def limit_attempt(self, time: float) -> Iterator[anyio.CancelScope]:
         """Yield a cancel scope with a deadline, which a drain can move earlier.
 
         :param time: the deadline, on the runtime's clock.
@@ -183,7 +183,7 @@
 
     def get_heard_age(self) -> float:
         """Return the seconds since the last answer from a coordinator."""
-        return anyio.current_time() - self.heard_at
+        return anyio.current_time() - self.last_heard_at
 
     def count_held(self) -> int:
         """Return how many requests are held because upstreams ended while running them."""
@@ -204,21 +204,21 @@
         """
         return self.table.services.get(name) if self.table else None
 
-    def get_leaving_since(self, instance: Instance) -> float:
+    def get_leave_noticed_at(self, instance: Instance) -> float:
         """Return when this gateway learnt that an instance is leaving; now if it has not.
 
         :param instance: the instance.
         """
         return self._leaving_since.get(instance.id, anyio.current_time())
 
-    async def may_try(self, fingerprint: str) -> bool:
+    async def acquire_trial(self, fingerprint: str) -> bool:
         """Return whether this gateway was granted the trial of a long-held request.
 
         :param fingerprint: the request's fingerprint.
         """
-        return self.ask_trial is not None and await self.ask_trial(fingerprint)
+        return self.request_trial is not None and await self.request_trial(fingerprint)
 
-    def note_backpressure(self, instance: Instance, signals: Backpressure) -> None:
+    def apply_backpressure(self, instance: Instance, signals: Backpressure) -> None:
         """Apply the backpressure signals that an upstream sent with a response.
 
         :param instance: the upstream.
@@ -240,30 +240,30 @@
         leaving = self.fleet.note_leaving(instance.id) if signals.leaving else []
         if leaving:
             log_event(Event.UPSTREAM_SAYS_LEAVING, id=instance.id)
-            self.note_changes(leaving)
+            self.apply_instance_changes(leaving)
             self._queue_upstream_notice(instance)
 
     def _queue_upstream_notice(self, instance: Instance) -> None:
         """Queue an upstream's changed state for the coordinators and trigger sending."""
-        self.upstream_news.add(instance.id)
-        self.on_news()
+        self.upstream_outbox.add(instance.id)
+        self.on_update()
 
-    def list_upstream_news(self, after: int) -> tuple[UpstreamNotice, ...]:
+    def list_upstream_notices(self, after: int) -> tuple[UpstreamNotice, ...]:
         """Return notices of the upstreams whose announced state changed after a sequence number.
 
         :param after: sequence number of the last change that the receiver has.
         """
-        names = dict.fromkeys(self.upstream_news.list_after(after))
+        names = dict.fromkeys(self.upstream_outbox.list_after(after))
         return tuple(list_upstream_notices(self.fleet, names, anyio.current_time()))
 
-    def take_repeat(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Take one retry from the budget that all gateways share; return whether it was granted.
 
         :param service: the service that the request is for.
         """
-        return self.budget.take(service, self.selector.gateways, anyio.current_time())
+        return self.budget.try_acquire(service, self.selector.gateways, anyio.current_time())
 
-    def note_replaced(self, instance: Instance) -> None:
+    def mark_replaced(self, instance: Instance) -> None:
         """Mark an upstream as gone because another instance answered at its address.
 
         :param instance: the upstream.
@@ -276,7 +276,7 @@
             # Streams are not moved: the new instance at the address has none of their state.
             self._drop_upstream(instance)
 
-    def note_changes(self, changed: list[Instance]) -> None:
+    def apply_instance_changes(self, changed: list[Instance]) -> None:
         """Handle changes of instance state.
 
         :param changed: the instances with their new state.
--- a/src/daleroad/generations.py
+++ b/src/daleroad/generations.py
@@ -8,26 +8,33 @@
 import anyio
 import orjson
 
-from daleroad.claiming import Claims, refuse_unclaimed
-from daleroad.claims import Claim, ClaimState
-from daleroad.defaults import CLAIM_ANSWER_BYTES
-from daleroad.delivery import Delivery
-from daleroad.ending import make_leaving
+from daleroad.claimclient import ClaimClient, make_unclaimed_failure
+from daleroad.claimjournal import Claim, ClaimState
+from daleroad.defaults import MAX_CLAIM_ANSWER_BYTES
+from daleroad.enginestream import (
+    EngineStream,
+    StreamEnded,
+    StreamFailed,
+    StreamPart,
+    TokenChunk,
+    cancel_generation,
+)
 from daleroad.environment import Environment, Inflight
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
-from daleroad.finishing import expect_tokens, find_latest_start
-from daleroad.jobs import Job, identify, make_work, parse_job
+from daleroad.jobs import Job, authenticate, describe_work, parse_job
 from daleroad.messages import EngineCompletion, PermitAnswer, PermitEnd, Work
 from daleroad.organisationlimits import OrganisationLimits
 from daleroad.ranking import rank_upstreams
 from daleroad.records import Organisation, Upstream
-from daleroad.relay import Broken, Ended, Part, Piece, Relay, forbid
 from daleroad.requestholds import RequestHolds, fingerprint_call
 from daleroad.retries import get_backoff
 from daleroad.security import get_upstream, make_generation
 from daleroad.serving import Answer, Request, Response, Stream, make_error
+from daleroad.shutdown import make_shutdown_failure
+from daleroad.shutdowndeadline import compute_latest_start, estimate_max_tokens
 from daleroad.stewardship import Stewardship
+from daleroad.tokensequence import TokenSequence
 
 _MAX_CANDIDATES = 3
 _TRANSIENT_KINDS = (FailureKind.CONFLICT, FailureKind.UNREACHABLE, FailureKind.DRAINING)
@@ -54,16 +61,16 @@
     """
 
     generation: str
-    first: Part
-    parts: AsyncGenerator[Part, None]
-    relay: Relay
+    first: StreamPart
+    parts: AsyncGenerator[StreamPart, None]
+    relay: EngineStream
     permit: Permit | None = None
     job: Job | None = None
     slot: str = ""
     answer: list[bytes] = field(default_factory=list)
 
 
-class Generations:
+class GenerationHandler:
     """Serves the generation requests that one entry receives.
 
     :param env: the entry's environment.
@@ -83,7 +90,7 @@
         self._holding = holding
         self._limits = limits
         self._stewardship = stewardship
-        self._claims = Claims(env)
+        self._claims = ClaimClient(env)
         self._permit_waits: dict[anyio.CancelScope, Job] = {}
 
     async def serve(self, request: Request) -> Answer:
@@ -99,7 +106,7 @@
         if isinstance(job, Failure):
             return self._refuse("", job)
         if not self._can_finish_in_time(job):
-            return await self._refuse_or_deliver_earlier(job, make_leaving(Ran.NO))
+            return await self._refuse_or_deliver_earlier(job, make_shutdown_failure(Ran.NO))
         slot = uuid4().hex
         refused = await self._limits.acquire(job.organisation, slot)
         if refused is not None:
@@ -134,7 +141,7 @@
 
     # Shutdown of the entry.
 
-    def note_end(self) -> None:
+    def apply_shutdown_deadline(self) -> None:
         """Limit pending waits for permits to what the shutdown deadline allows."""
         for scope, job in self._permit_waits.items():
             scope.deadline = self._find_latest_start(job)
@@ -142,15 +149,15 @@
     def _find_latest_start(self, job: Job) -> float:
         env = self._env
         max_tokens = job.completion.max_tokens
-        tokens = expect_tokens(env.lengths, job.route.name, job.model, max_tokens)
-        return find_latest_start(env.ends_at, job.deadline_at - job.arrived_at, tokens)
+        tokens = estimate_max_tokens(env.lengths, job.route.name, job.model, max_tokens)
+        return compute_latest_start(env.ends_at, job.deadline_at - job.arrived_at, tokens)
 
     def _can_finish_in_time(self, job: Job) -> bool:
         return anyio.current_time() < self._find_latest_start(job)
 
     async def _obtain_permit_in_time(self, job: Job, avoid: set[str]) -> Permit | Failure:
         """Obtain a permit, unless the generation could not finish before the entry shuts down."""
-        permit: Permit | Failure = make_leaving(Ran.NO)
+        permit: Permit | Failure = make_shutdown_failure(Ran.NO)
         scope = anyio.CancelScope(deadline=self._find_latest_start(job))
         self._permit_waits[scope] = job
         try:
@@ -162,13 +169,13 @@
             return permit
         if isinstance(permit, Permit):
             await self._return_permit(permit, 0, started=False, ok=False)
-        return make_leaving(Ran.NO)
+        return make_shutdown_failure(Ran.NO)
 
     # From job to first token.
 
     async def _start(self, job: Job) -> ActiveGeneration | Failure:
         """Dispatch a request and wait for its first token, retrying on other upstreams."""
-        self._env.budget.note_try()
+        self._env.budget.record_first_attempt()
         ran = Ran.NO
         avoid: set[str] = set()
         attempt = 0
@@ -186,7 +193,7 @@
                 return _include_earlier_ran(active, ran)
             ran = active.ran if active.ran is not Ran.NO else ran
             late = anyio.current_time() >= job.deadline_at
-            if late or not self._env.budget.take():
+            if late or not self._env.budget.try_acquire():
                 return _include_earlier_ran(active, ran)
             avoid.add(permit.upstream.name)
             log_event(Event.REQUEST_MOVED, route=job.route.name, away=permit.upstream.name)
@@ -251,8 +258,10 @@
         # With this deadline, the steward drops the work from its queue once the work could not
         # finish before this entry shuts down.
         deadline_at = min(job.deadline_at, self._find_latest_start(job))
-        work = make_work(replace(job, deadline_at=deadline_at), generation, anyio.current_time())
-        answer = await self._stewardship.ask(upstream, work, wait)
+        work = describe_work(
+            replace(job, deadline_at=deadline_at), generation, anyio.current_time()
+        )
+        answer = await self._stewardship.request_permit(upstream, work, wait)
         if isinstance(answer, PermitAnswer):
             return Permit(upstream, work)
         return answer
@@ -269,7 +278,7 @@
         refused = outcome if isinstance(outcome, Failure) else outcome.failure
         if refused is not None:
             await self._return_permit(permit, 0, started=False, ok=False)
-            return refuse_unclaimed(refused)
+            return make_unclaimed_failure(refused)
         assert not isinstance(outcome, Failure)
         if not outcome.acquired and outcome.claim is not None:
             await self._return_permit(permit, 0, started=False, ok=False)
@@ -286,7 +295,7 @@
         """
         if job.route.repeatable:
             return failure
-        outcome = await self._claims.look(job.organisation.name, job.key, job.digest)
+        outcome = await self._claims.read(job.organisation.name, job.key, job.digest)
         if isinstance(outcome, Failure):
             reason = f"{failure.reason}; it is unknown whether an earlier attempt ran"
             return Failure(failure.kind, reason, Ran.UNKNOWN, failure.retry_after)
@@ -303,14 +312,14 @@
             job.completion.max_tokens,
             job.priority,
         )
-        relay = self._make_relay(upstream.address, Delivery(work.generation), job.route.urgent)
+        relay = self._make_relay(upstream.address, TokenSequence(work.generation), job.route.urgent)
         self._env.inflight[work.generation] = Inflight(work, upstream.name)
         self._env.ejector.take_trial(upstream.name, anyio.current_time())
         parts = relay.start(completion)
         first = await anext(parts)
-        ok = not isinstance(first, Broken)
+        ok = not isinstance(first, StreamFailed)
         self._record_health(upstream, ok)
-        if isinstance(first, Broken):
+        if isinstance(first, StreamFailed):
             await parts.aclose()
             return await self._cancel_failed_work(job, permit, first.failure)
         return ActiveGeneration(work.generation, first, parts, relay, permit, job)
@@ -324,7 +333,9 @@
         ran = failure.ran
         if ran is not Ran.NO:
             self._record_loss(job, permit, failure)
-            known = await forbid(self._env.links, permit.upstream.address, permit.work.generation)
+            known = await cancel_generation(
+                self._env.links, permit.upstream.address, permit.work.generation
+            )
             unseen = not isinstance(known, Failure) and known.state == "unseen"
             ran = Ran.NO if unseen else Ran.UNKNOWN
         await self._return_permit(permit, 0, started=False, ok=False)
@@ -358,11 +369,11 @@
         upstream = self._env.catalog.upstreams.get(claim.upstream)
         if upstream is None:
             return self._refuse_attach(claim, "its upstream is no longer a member")
-        delivery = Delivery(claim.generation)
+        delivery = TokenSequence(claim.generation)
         relay = self._make_relay(upstream.address, delivery, job.route.urgent)
         parts = relay.resume()
         first = await anext(parts)
-        if not isinstance(first, Broken):
+        if not isinstance(first, StreamFailed):
             return ActiveGeneration(claim.generation, first, parts, relay, None, job)
         await parts.aclose()
         return await self._handle_failed_attach(job, claim, upstream)
@@ -373,7 +384,7 @@
                 claim,
                 "its answer is not kept with the claim and could not be read from its upstream",
             )
-        known = await forbid(self._env.links, upstream.address, claim.generation)
+        known = await cancel_generation(self._env.links, upstream.address, claim.generation)
         if isinstance(known, Failure):
             reason = "an earlier attempt holds this key and its upstream does not respond"
             return Failure(FailureKind.KEY_RUNNING, reason, Ran.UNKNOWN, 2.0)
@@ -399,7 +410,7 @@
         relay = self._make_relay(upstream.address, delivery, urgent=True)
         parts = relay.resume()
         first = await anext(parts)
-        if isinstance(first, Broken):
+        if isinstance(first, StreamFailed):
             await parts.aclose()
             failure = first.failure
             return self._refuse(
@@ -411,8 +422,8 @@
 
     def _parse_resume(
         self, request: Request, last_event_id: str
-    ) -> tuple[Delivery, Upstream] | Failure:
-        organisation: Organisation | Failure = identify(self._env.directory, request)
+    ) -> tuple[TokenSequence, Upstream] | Failure:
+        organisation: Organisation | Failure = authenticate(self._env.directory, request)
         if isinstance(organisation, Failure):
             return organisation
         # An event id is GENERATION:INDEX.
@@ -426,11 +437,11 @@
         if upstream is None:
             reason = "the generation's upstream is no longer a member"
             return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.PARTIAL)
-        return Delivery(generation, int(index) + 1), upstream
+        return TokenSequence(generation, int(index) + 1), upstream
 
-    def _make_relay(self, address: str, delivery: Delivery, urgent: bool) -> Relay:
+    def _make_relay(self, address: str, delivery: TokenSequence, urgent: bool) -> EngineStream:
         env = self._env
-        return Relay(env.links, address, delivery, env.settings.stall, urgent, env.random)
+        return EngineStream(env.links, address, delivery, env.settings.stall, urgent, env.random)
 
     async def _deliver(self, active: ActiveGeneration, stream: bool) -> Answer:
         headers = ((_GENERATION_HEADER, active.generation),)
@@ -444,18 +455,18 @@
         """Yield the response body; clean up in the background when it ends or is cancelled."""
         env = self._env
         env.metrics.inflight.inc()
-        last_part: Part = active.first
+        last_part: StreamPart = active.first
         try:
             async for part in _iterate_parts(active):
                 last_part = part
                 match part:
-                    case Piece(raw, count):
+                    case TokenChunk(raw, count):
                         self._record_progress(active, raw, count)
                         yield raw
-                    case Ended(raw, _):
+                    case StreamEnded(raw, _):
                         active.answer.append(raw)
                         yield raw
-                    case Broken(failure):
+                    case StreamFailed(failure):
                         yield make_error(failure)
         finally:
             env.metrics.inflight.dec()
@@ -471,7 +482,7 @@
         if active.job is not None and not active.job.route.repeatable:
             active.answer.append(raw)
 
-    async def _clean_up(self, active: ActiveGeneration, last_part: Part) -> None:
+    async def _clean_up(self, active: ActiveGeneration, last_part: StreamPart) -> None:
         """Release what a generation holds, by how its delivery ended: whole, broken or left.
 
         The organisation's slot is released in each case. The permit is returned unless the client
@@ -481,29 +492,29 @@
         if job is not None:
             await self._limits.release(job.organisation, active.slot)
         tokens = active.relay.delivery.next_index
-        whole = isinstance(last_part, Ended)
-        end = "whole" if whole else "broken" if isinstance(last_part, Broken) else "left"
+        whole = isinstance(last_part, StreamEnded)
+        end = "whole" if whole else "broken" if isinstance(last_part, StreamFailed) else "left"
         self._env.metrics.accepted.labels(job.route.name if job else "", end).inc()
         if end == "broken":
             log_event(Event.STREAM_ENDED, generation=active.generation, tokens=tokens)
         if active.permit is not None and end != "left":
             if end == "broken":
                 self._record_health(active.permit.upstream, False)
-                if job is not None and isinstance(last_part, Broken):
+                if job is not None and isinstance(last_part, StreamFailed):
                     self._record_loss(job, active.permit, last_part.failure)
             await self._return_permit(active.permit, tokens, started=True, ok=whole)
         if job is not None and whole:
             self._holding.record_success(_make_fingerprint(job))
         if job is not None and not job.route.repeatable and whole:
             answer = b"".join(active.answer)
-            kept = answer.decode() if len(answer) <= CLAIM_ANSWER_BYTES else ""
+            kept = answer.decode() if len(answer) <= MAX_CLAIM_ANSWER_BYTES else ""
             name = job.organisation.name
             await self._claims.settle(name, job.key, active.generation, ClaimState.DONE, kept)
 
     async def _return_permit(self, permit: Permit, tokens: int, started: bool, ok: bool) -> None:
         self._env.inflight.pop(permit.work.generation, None)
         end = PermitEnd(permit.upstream.name, permit.work.generation, tokens, started, ok)
-        await self._stewardship.end(end)
+        await self._stewardship.return_permit(end)
 
     def _record_loss(self, job: Job, permit: Permit, failure: Failure) -> None:
         if failure.kind is not FailureKind.UPSTREAM_LOST:
@@ -523,7 +534,7 @@
     return fingerprint_call(job.organisation, job.route, "", job.digest.encode())
 
 
-async def _iterate_parts(active: ActiveGeneration) -> AsyncIterator[Part]:
+async def _iterate_parts(active: ActiveGeneration) -> AsyncIterator[StreamPart]:
     yield active.first
     async with aclosing(active.parts) as parts:
         async for part in parts:
@@ -533,15 +544,17 @@
 def _replay_answer(job: Job, claim: Claim) -> ActiveGeneration:
     """Return a generation that replays the answer stored with a claim."""
 
-    async def iterate_nothing() -> AsyncGenerator[Part, None]:
-        nothing: tuple[Part, ...] = ()
+    async def iterate_nothing() -> AsyncGenerator[StreamPart, None]:
+        nothing: tuple[StreamPart, ...] = ()
         for part in nothing:
             yield part
 
     raw = claim.answer.encode()
-    delivery = Delivery(claim.generation)
-    relay = Relay(None, "", delivery, 0.0, False, None)  # type: ignore[arg-type]
-    return ActiveGeneration(claim.generation, Ended(raw, 0), iterate_nothing(), relay, None, job)
+    delivery = TokenSequence(claim.generation)
+    relay = EngineStream(None, "", delivery, 0.0, False, None)  # type: ignore[arg-type]
+    return ActiveGeneration(
+        claim.generation, StreamEnded(raw, 0), iterate_nothing(), relay, None, job
+    )
 
 
 def _include_earlier_ran(failure: Failure, ran: Ran) -> Failure:
--- a/src/daleroad/jobs.py
+++ b/src/daleroad/jobs.py
@@ -51,7 +51,7 @@
         return _URGENT_PRIORITY if self.route.urgent else _NORMAL_PRIORITY
 
 
-def identify(directory: Directory, request: Request) -> Organisation | Failure:
+def authenticate(directory: Directory, request: Request) -> Organisation | Failure:
     """Return the organisation that a request's bearer token belongs to.
 
     :param directory: organisations by hash of their token.
@@ -71,7 +71,7 @@
     :param request: the request.
     :param now: current time in seconds.
     """
-    organisation = identify(directory, request)
+    organisation = authenticate(directory, request)
     if isinstance(organisation, Failure):
         return organisation
     completion = decode(Completion, request.body)
@@ -84,7 +84,7 @@
     if error is not None:
         return Failure(FailureKind.BAD_REQUEST, error)
     deadline = parse_deadline(request, route, now)
-    key = get_key(request, route)
+    key = get_idempotency_key(request, route)
     for failed in (deadline, key):
         if isinstance(failed, Failure):
             return failed
@@ -105,7 +105,7 @@
     return None
 
 
-def get_key(request: Request, route: Route) -> str | Failure:
+def get_idempotency_key(request: Request, route: Route) -> str | Failure:
     """Return the request's idempotency key, which non-repeatable routes require.
 
     :param request: the request.
@@ -142,7 +142,7 @@
     return now + min(requested_seconds, 10 * seconds)
 
 
-def make_work(job: Job, generation: str, now: float) -> Work:
+def describe_work(job: Job, generation: str, now: float) -> Work:
     """Describe a job to the steward that admits it.
 
     :param job: the job.
--- a/src/daleroad/moving.py
+++ b/src/daleroad/migration.py
@@ -10,25 +10,25 @@
 
 import anyio
 
-from daleroad.copyschedule import Room, RunSize
+from daleroad.copyschedule import Destination, RunSize
 from daleroad.defaults import (
     LATE_PLAN_SECONDS,
     MOVE_RETRY_SECONDS,
     REPORT_AGAIN_SECONDS,
 )
-from daleroad.dispatch import Copied, CopyFault, EngineReport, NotCopied, Source
+from daleroad.dispatch import Copied, CopyFault, CopySource, EngineReport, NotCopied
 from daleroad.errors import Failure
 from daleroad.events import Event, log_event
 from daleroad.fleet import GONE_KEPT_SECONDS
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState
-from daleroad.plans import Plan
+from daleroad.plans import MigrationPlan
 from daleroad.routing import ServiceRule
-from daleroad.runs import Continuation, Run
 from daleroad.scoring import MIGRATION_ZONE_BONUS, pick_upstream
+from daleroad.streams import ResumePoint, StreamRun
 
 
-class EngineMover:
+class EngineMigrator:
     """Migrates the generations of one gateway.
 
     :param gateway: the gateway.
@@ -36,33 +36,33 @@
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
-        self._plans: dict[str, Plan] = {}
+        self._plans: dict[str, MigrationPlan] = {}
 
-    def begin(self, run: Run) -> None:
+    def start_migration(self, run: StreamRun) -> None:
         """Start to migrate a run off an engine that is shutting down.
 
         :param run: the run.
         """
         service = self._gateway.get_service(run.attempt.instance.service)
-        if run.moving or run.ended or service is None or service.engine is None:
+        if run.migrating or run.ended or service is None or service.engine is None:
             return
         if not service.engine.moves:
             return
-        run.moving = True
+        run.migrating = True
         self._gateway.spawn(self._run_migration, run)
 
-    async def continue_cut(self, run: Run) -> Continuation | None:
+    async def find_resume_point(self, run: StreamRun) -> ResumePoint | None:
         """Return the engine that can resume a run whose stream was cut, if there is one.
 
         :param run: the run.
         """
-        if run.moving:
-            await run.settled.wait()
-        if run.continuation is not None:
-            return run.continuation
+        if run.migrating:
+            await run.migration_done.wait()
+        if run.resume_point is not None:
+            return run.resume_point
         return await self._recover_cut_run(run)
 
-    async def _recover_cut_run(self, run: Run) -> Continuation | None:
+    async def _recover_cut_run(self, run: StreamRun) -> ResumePoint | None:
         """Find an engine to resume on after a cut without notice.
 
         The engine may have crashed, or only the connection may be broken. A final copy stops the
@@ -82,16 +82,16 @@
         if backup is None or result.fault is CopyFault.BUSY:
             return None
         # The handle of a backup is the request's id.
-        source = Source(backup.address, run.attempt.job.id, run.last_event)
-        return Continuation(backup, source)
+        source = CopySource(backup.address, run.attempt.job.id, run.last_event)
+        return ResumePoint(backup, source)
 
-    async def _run_migration(self, run: Run) -> None:
+    async def _run_migration(self, run: StreamRun) -> None:
         try:
             await self._migrate(run)
         finally:
-            run.settled.set()
+            run.migration_done.set()
 
-    async def _migrate(self, run: Run) -> None:
+    async def _migrate(self, run: StreamRun) -> None:
         """Copy a run off its engine by the engine's plan, retrying after failures that may pass."""
         origin = run.attempt.instance
         plan = await self._find_plan(origin, run.attempt.job.id)
@@ -105,7 +105,7 @@
             result = await self._copy_in_two_steps(run, destination, plan)
             match result:
                 case Copied():
-                    run.continuation = self._make_continuation(run, destination, result)
+                    run.resume_point = self._make_continuation(run, destination, result)
                     return
                 case NotCopied(reason, fault):
                     self._log_copy_failure(run, destination.id, reason)
@@ -120,7 +120,7 @@
             await anyio.sleep(MOVE_RETRY_SECONDS)
 
     async def _copy_in_two_steps(
-        self, run: Run, destination: Instance, plan: Plan
+        self, run: StreamRun, destination: Instance, plan: MigrationPlan
     ) -> Copied | NotCopied:
         """Pre-copy a run in its slot, then make the final copy; without a slot, after the others.
 
@@ -141,13 +141,13 @@
         finally:
             self._gateway.loads.add_load(destination, -1, -run.tokens)
 
-    async def _find_plan(self, origin: Instance, run_id: str) -> Plan:
+    async def _find_plan(self, origin: Instance, run_id: str) -> MigrationPlan:
         """Return the plan in which a run has its slot; an engine's plan is made once."""
         plan = self._plans.get(origin.id)
         if plan is None:
             self._drop_old_plans()
-            noticed_at = self._gateway.get_leaving_since(origin)
-            plan = self._plans[origin.id] = Plan(anyio.current_time(), noticed_at)
+            noticed_at = self._gateway.get_leave_noticed_at(origin)
+            plan = self._plans[origin.id] = MigrationPlan(anyio.current_time(), noticed_at)
             await self._make_plan(plan, origin, run_id)
         await plan.ready.wait()
         if run_id in plan.slots:
@@ -157,40 +157,42 @@
             return plan
         return await self._find_late_plan(plan, origin)
 
-    async def _find_late_plan(self, plan: Plan, origin: Instance) -> Plan:
+    async def _find_late_plan(self, plan: MigrationPlan, origin: Instance) -> MigrationPlan:
         """Return the plan for runs that have no slot or missed it; a plan has one late plan."""
-        if not plan.known:
+        if not plan.has_report:
             return plan
-        if plan.late is None:
-            plan.late = Plan(plan.busy_until, plan.noticed_at, plan.ends_at)
-            await self._make_late_plan(plan, plan.late, origin)
-        await plan.late.ready.wait()
-        return plan.late
+        if plan.late_plan is None:
+            plan.late_plan = MigrationPlan(plan.busy_until, plan.noticed_at, plan.ends_at)
+            await self._make_late_plan(plan, plan.late_plan, origin)
+        await plan.late_plan.ready.wait()
+        return plan.late_plan
 
     def _drop_old_plans(self) -> None:
         oldest = anyio.current_time() - GONE_KEPT_SECONDS
         self._plans = {id_: plan for id_, plan in self._plans.items() if plan.noticed_at > oldest}
 
-    async def _make_plan(self, plan: Plan, origin: Instance, run_id: str) -> None:
+    async def _make_plan(self, plan: MigrationPlan, origin: Instance, run_id: str) -> None:
         report = await self._fetch_report(origin)
         if report is not None:
             self._fill_plan(plan, origin, report, report.runs)
             if plan.made_at - plan.noticed_at < LATE_PLAN_SECONDS:
                 plan.schedule()
             else:
-                plan.follow_others(run_id)
+                plan.wait_for_others(run_id)
             self._log_plan(plan, origin, report)
         plan.ready.set()
         self._gateway.spawn(self._extend_plan, plan, origin)
 
-    async def _make_late_plan(self, plan: Plan, late: Plan, origin: Instance) -> None:
+    async def _make_late_plan(
+        self, plan: MigrationPlan, late: MigrationPlan, origin: Instance
+    ) -> None:
         """Schedule the remaining runs once those of the plan have been copied."""
         # A report requested earlier may not list these runs yet.
         listed_at = plan.noticed_at + REPORT_AGAIN_SECONDS
         await anyio.sleep_until(max(plan.busy_until, listed_at))
         report = await self._fetch_report(origin)
         if report is not None:
-            self._fill_plan(late, origin, report, plan.list_late(report.runs))
+            self._fill_plan(late, origin, report, plan.list_uncovered(report.runs))
             late.schedule()
             self._log_plan(late, origin, report)
         late.ready.set()
@@ -204,7 +206,7 @@
         return report
 
     def _fill_plan(
-        self, plan: Plan, origin: Instance, report: EngineReport, runs: tuple[RunSize, ...]
+        self, plan: MigrationPlan, origin: Instance, report: EngineReport, runs: tuple[RunSize, ...]
     ) -> None:
         service = self._gateway.get_service(origin.service)
         if service is None or service.engine is None:
@@ -212,14 +214,14 @@
                 Event.REPORT_FAILED, upstream=origin.id, reason="service is no longer configured"
             )
             return
-        plan.known = True
+        plan.has_report = True
         plan.made_at = anyio.current_time()
         plan.runs = runs
-        plan.rooms = tuple(self._list_destinations(origin, service))
+        plan.destinations = tuple(self._list_destinations(origin, service))
         plan.token_seconds = service.engine.token_seconds
-        plan.note_leaves_in(report.leaves_in, plan.made_at)
+        plan.postpone_end(report.stops_in_seconds, plan.made_at)
 
-    async def _extend_plan(self, plan: Plan, origin: Instance) -> None:
+    async def _extend_plan(self, plan: MigrationPlan, origin: Instance) -> None:
         """Ask again when the engine ends if some runs have no slot; the first report may be old."""
         try:
             if plan.slots and len(plan.slots) < len(plan.runs):
@@ -227,41 +229,45 @@
                 report = await self._fetch_report(origin)
                 if report is None:
                     return
-                plan.note_leaves_in(report.leaves_in, anyio.current_time())
+                plan.postpone_end(report.stops_in_seconds, anyio.current_time())
                 plan.schedule()
                 self._log_plan(plan, origin, report)
         finally:
             plan.extended.set()
 
-    def _log_plan(self, plan: Plan, origin: Instance, report: EngineReport) -> None:
+    def _log_plan(self, plan: MigrationPlan, origin: Instance, report: EngineReport) -> None:
         log_event(
             Event.COPIES_PLANNED,
             upstream=origin.id,
-            leaves_in=report.leaves_in,
+            leaves_in=report.stops_in_seconds,
             ends_in=round(plan.ends_at - anyio.current_time(), 3),
             notice_age=round(anyio.current_time() - plan.noticed_at, 3),
             runs=len(plan.runs),
             slots=len(plan.slots),
-            rooms=[(room.id, room.near, int(room.free)) for room in plan.rooms],
+            rooms=[(room.id, room.same_zone, int(room.free_tokens)) for room in plan.destinations],
         )
 
-    def _list_destinations(self, origin: Instance, service: ServiceRule) -> Iterator[Room]:
+    def _list_destinations(self, origin: Instance, service: ServiceRule) -> Iterator[Destination]:
         memory = service.engine.memory_tokens if service.engine else 0
         for candidate in self._gateway.selector.list_candidates(service, 0, {origin.id}):
             engine = candidate.instance
             free = memory - self._gateway.loads.get_total(engine.id).tokens
             if not candidate.unhealthy and not candidate.overdue:
-                yield Room(engine.id, engine.zone == origin.zone, free)
+                yield Destination(engine.id, engine.zone == origin.zone, free)
 
     def _get_planned_destination(
-        self, run: Run, plan: Plan, excluded: Container[str]
+        self, run: StreamRun, plan: MigrationPlan, excluded: Container[str]
     ) -> Instance | None:
         """Return the engine that the schedule names for a run, if it is still ready."""
         slot = plan.slots.get(run.attempt.job.id)
-        named = self._gateway.fleet.get(slot.to) if slot and slot.to not in excluded else None
+        named = (
+            self._gateway.fleet.get(slot.destination_id)
+            if slot and slot.destination_id not in excluded
+            else None
+        )
         return named if named is not None and named.state is InstanceState.READY else None
 
-    async def _copy(self, run: Run, destination: Instance, final: bool) -> Copied | NotCopied:
+    async def _copy(self, run: StreamRun, destination: Instance, final: bool) -> Copied | NotCopied:
         job = run.attempt.job
         origin = run.attempt.instance
         started_at = anyio.current_time()
@@ -275,17 +281,17 @@
                 zones=f"{origin.zone}>{destination.zone}",
                 backup=run.backup is not None and run.backup.id == destination.id,
                 final=final,
-                made=result.made,
+                made=result.events_generated,
                 delivered=run.last_event,
                 seconds=round(anyio.current_time() - started_at, 3),
             )
         return result
 
-    def _make_continuation(self, run: Run, to: Instance, copied: Copied) -> Continuation:
-        source = Source(run.attempt.instance.address, copied.handle, run.last_event)
-        return Continuation(to, source)
+    def _make_continuation(self, run: StreamRun, to: Instance, copied: Copied) -> ResumePoint:
+        source = CopySource(run.attempt.instance.address, copied.handle, run.last_event)
+        return ResumePoint(to, source)
 
-    def _get_live_backup(self, run: Run) -> Instance | None:
+    def _get_live_backup(self, run: StreamRun) -> Instance | None:
         """Return the engine with a run's backup, if it is ready and may be sent requests."""
         if run.backup is None:
             return None
@@ -294,11 +300,11 @@
             return None
         return None if self._gateway.guard.find_unavailable_reason(known) else known
 
-    def _will_end_soon(self, run: Run) -> bool:
+    def _will_end_soon(self, run: StreamRun) -> bool:
         prompt = run.attempt.job.prompt
         return prompt is not None and prompt.ends_soon()
 
-    def _pick_destination(self, run: Run, excluded: set[str]) -> Instance | None:
+    def _pick_destination(self, run: StreamRun, excluded: set[str]) -> Instance | None:
         gateway = self._gateway
         origin = run.attempt.instance
         service = gateway.get_service(origin.service)
@@ -311,5 +317,5 @@
             return gateway.selector.pick_rate_limited(service, run.tokens, excluded)
         return found.instance
 
-    def _log_copy_failure(self, run: Run, to: str, reason: str) -> None:
+    def _log_copy_failure(self, run: StreamRun, to: str, reason: str) -> None:
         log_event(Event.MOVE_FAILED, request=run.attempt.job.id, to=to, reason=reason)
--- a/src/daleroad/plans.py
+++ b/src/daleroad/plans.py
@@ -13,14 +13,14 @@
 import anyio
 
 from daleroad.copyschedule import (
-    STOP_AFTER_SECONDS,
-    STOP_EACH_SECONDS,
-    STOP_MARGIN_SECONDS,
-    Room,
+    FINAL_COPY_SECONDS,
+    MIN_STOP_MARGIN_SECONDS,
+    STOP_DELAY_SECONDS,
+    Destination,
     RunSize,
     Slot,
     schedule_copies,
-    sum_seconds,
+    sum_copy_seconds,
 )
 from daleroad.defaults import NOTICE_SECONDS, REPORT_LAG_SECONDS
 
@@ -30,44 +30,44 @@
 
 
 @dataclass
-class Plan:
+class MigrationPlan:
     """The migration plan of an engine. Times are on the event loop's clock.
 
     :param made_at: start of the schedule, to which the times of slots are relative.
     :param noticed_at: when the engine's notice was received.
     :param ends_at: when the engine is expected to end.
-    :param known: whether the engine reported its runs; without a report each gateway migrates its
-        runs at once.
+    :param has_report: whether the engine reported its runs; without a report each gateway migrates
+        its runs at once.
     :param runs: the reported runs.
-    :param rooms: the possible destinations.
+    :param destinations: the possible destinations.
     :param token_seconds: transfer time of one token's memory within the zone.
     :param slots: slots by id of the run.
     :param scheduled: ids of the runs that this plan covers, here or at other gateways.
     :param busy_until: until when the copies of these runs occupy the engine's link.
     :param ready: set when the plan was computed.
     :param extended: set when no more slots will be added.
-    :param late: the plan for runs that this one does not cover.
+    :param late_plan: the plan for runs that this one does not cover.
     """
 
     made_at: float
     noticed_at: float
     ends_at: float = 0.0
-    known: bool = False
+    has_report: bool = False
     runs: tuple[RunSize, ...] = ()
-    rooms: tuple[Room, ...] = ()
+    destinations: tuple[Destination, ...] = ()
     token_seconds: float = 0.0
     slots: dict[str, Slot] = field(default_factory=dict)
     scheduled: frozenset[str] = frozenset()
     busy_until: float = 0.0
     ready: anyio.Event = field(default_factory=anyio.Event)
     extended: anyio.Event = field(default_factory=anyio.Event)
-    late: "Plan | None" = None
+    late_plan: "MigrationPlan | None" = None
 
     def __post_init__(self) -> None:
         if not self.ends_at:
             self.ends_at = self.noticed_at + NOTICE_SECONDS
 
-    def note_leaves_in(self, leaves_in: float | None, now: float) -> None:
+    def postpone_end(self, leaves_in: float | None, now: float) -> None:
         """Postpone the expected end as the engine reports, allowing for the age of the report.
 
         :param leaves_in: reported seconds until the end, if the engine knows.
@@ -82,26 +82,26 @@
         When repeated with a later end, it keeps the starts that were assigned before.
         """
         seconds = self.ends_at - self.made_at
-        self.slots = schedule_copies(self.runs, self.rooms, seconds, self.token_seconds)
+        self.slots = schedule_copies(self.runs, self.destinations, seconds, self.token_seconds)
         self.scheduled = frozenset(self.slots)
         last = max((slot.stop for slot in self.slots.values()), default=0.0)
-        self.busy_until = self.made_at + last + STOP_EACH_SECONDS * len(self.slots)
+        self.busy_until = self.made_at + last + FINAL_COPY_SECONDS * len(self.slots)
 
-    def follow_others(self, own: str) -> None:
+    def wait_for_others(self, own: str) -> None:
         """Assign no slots, since the other gateways have begun to copy; estimate when they end.
 
         :param own: id of the gateway's own run, which began after the notice; it is not covered.
         """
         others = [run for run in self.runs if run.id != own]
         self.scheduled = frozenset(run.id for run in others)
-        pre_copies = sum_seconds(others, self.rooms, self.token_seconds)
+        pre_copies = sum_copy_seconds(others, self.destinations, self.token_seconds)
         # Pre-copies end by then at the latest. The estimate may be far longer, since the
         # destinations of the others may already look full.
-        pre_copies = min(pre_copies, NOTICE_SECONDS - STOP_MARGIN_SECONDS)
-        final_copies = STOP_AFTER_SECONDS + STOP_EACH_SECONDS * len(others)
+        pre_copies = min(pre_copies, NOTICE_SECONDS - MIN_STOP_MARGIN_SECONDS)
+        final_copies = STOP_DELAY_SECONDS + FINAL_COPY_SECONDS * len(others)
         self.busy_until = self.noticed_at + pre_copies + final_copies + _LATE_GATEWAY_MARGIN_SECONDS
 
-    def list_late(self, runs: Iterable[RunSize]) -> tuple[RunSize, ...]:
+    def list_uncovered(self, runs: Iterable[RunSize]) -> tuple[RunSize, ...]:
         """Return the runs that this plan does not cover.
 
         :param runs: all runs that the engine reported.
--- a/src/daleroad/retries.py
+++ b/src/daleroad/retries.py
@@ -4,9 +4,9 @@
 from random import Random
 
 from daleroad.defaults import (
-    BACKOFF_MAX_SECONDS,
     BACKOFF_SECONDS,
     BUDGET_SAFETY,
+    MAX_BACKOFF_SECONDS,
     RETRY_BURST,
     RETRY_SHARE,
 )
@@ -26,11 +26,11 @@
         self._burst = burst
         self._tokens = burst
 
-    def note_try(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Use up one retry; return whether it is allowed."""
         if self._tokens < 1:
             return False
@@ -44,7 +44,7 @@
     :param attempt: number of the retry, from 0.
     :param random: source of jitter.
     """
-    ceiling = min(BACKOFF_MAX_SECONDS, BACKOFF_SECONDS * 2**attempt)
+    ceiling = min(MAX_BACKOFF_SECONDS, BACKOFF_SECONDS * 2**attempt)
     return random.uniform(ceiling / 4, ceiling)
 
 
@@ -63,7 +63,7 @@
         self._first_attempts: dict[str, deque[float]] = {}
         self._retries: dict[str, deque[float]] = {}
 
-    def note_first(self, service: str, now: float) -> None:
+    def record_first_attempt(self, service: str, now: float) -> None:
         """Count a first attempt.
 
         :param service: name of the service that it went to.
@@ -71,7 +71,7 @@
         """
         self._drop_expired(self._first_attempts, service, now).append(now)
 
-    def take(self, service: str, process_count: int, now: float) -> bool:
+    def try_acquire(self, service: str, process_count: int, now: float) -> bool:
         """Use up one retry; return whether it is allowed.
 
         :param service: name of the service that it goes to.
--- a/src/daleroad/routing.py
+++ b/src/daleroad/routing.py
@@ -65,7 +65,7 @@
     prompts: bool
     resumable: bool = False
 
-    def find_silence(self) -> float:
+    def get_silence_timeout(self) -> float:
         """Return the seconds without any response after which an upstream is given up.
 
         A stream that can't be resumed is lost when its connection is closed. During a network
@@ -147,7 +147,7 @@
     limits: RequestLimits = RequestLimits()
 
 
-def find_fault(config: RoutingConfig) -> Failure | None:
+def validate_config(config: RoutingConfig) -> Failure | None:
     """Return the first reason why a configuration is invalid, or nothing.
 
     :param config: the configuration.
@@ -221,7 +221,7 @@
                 return route
         return Failure(FailureKind.UNKNOWN_ROUTE, f"no route for {host}{path}")
 
-    def identify(self, key: str) -> OrganisationRule | Failure:
+    def find_organisation(self, key: str) -> OrganisationRule | Failure:
         """Return the organisation that an API key belongs to.
 
         :param key: the API key.
--- a/src/daleroad/selection.py
+++ b/src/daleroad/selection.py
@@ -278,7 +278,7 @@
         service = self._get_service(instance.service)
         if service is None or service.engine is None or not service.engine.backups:
             return None
-        if prompt is None or prompt.guess_seconds() < MIN_BACKUP_SECONDS:
+        if prompt is None or prompt.estimate_seconds() < MIN_BACKUP_SECONDS:
             return None
         candidates = self.list_candidates(service, tokens, {instance.id})
         spare = (c for c in candidates if c.load <= MAX_BACKUP_LOAD and not c.unhealthy)
--- a/src/daleroad/services.py
+++ b/src/daleroad/services.py
@@ -12,19 +12,19 @@
 import orjson
 from xxhash import xxh3_128_hexdigest
 
-from daleroad.claiming import Claims, refuse_unclaimed
-from daleroad.claims import Claim, ClaimState
-from daleroad.defaults import CLAIM_ANSWER_BYTES, LAST_ANSWER_SECONDS
-from daleroad.ending import make_leaving
+from daleroad.claimclient import ClaimClient, make_unclaimed_failure
+from daleroad.claimjournal import Claim, ClaimState
+from daleroad.defaults import LAST_ANSWER_SECONDS, MAX_CLAIM_ANSWER_BYTES
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind, Ran
-from daleroad.jobs import get_key, identify, parse_deadline
+from daleroad.jobs import authenticate, get_idempotency_key, parse_deadline
 from daleroad.ranking import rank_upstreams
 from daleroad.records import Organisation, Route, Upstream
 from daleroad.requestholds import RequestHolds, fingerprint_call, is_success_status
 from daleroad.retries import get_backoff
 from daleroad.security import make_generation
 from daleroad.serving import Answer, Request, Response
+from daleroad.shutdown import make_shutdown_failure
 
 _IDEMPOTENT = ("GET", "HEAD", "OPTIONS")
 _MAX_ATTEMPTS = 4
@@ -59,7 +59,7 @@
     def __init__(self, env: Environment, holding: RequestHolds) -> None:
         self._env = env
         self._holding = holding
-        self._claims = Claims(env)
+        self._claims = ClaimClient(env)
 
     async def serve(self, request: Request) -> Answer:
         """Answer one call; its path is ``/services/ROUTE/...``.
@@ -67,7 +67,7 @@
         :param request: the request.
         """
         env = self._env
-        organisation = identify(env.directory, request)
+        organisation = authenticate(env.directory, request)
         if isinstance(organisation, Failure):
             return organisation
         name, _, rest = request.tail.partition("/")
@@ -80,7 +80,7 @@
         deadline = min(deadline, env.ends_at - LAST_ANSWER_SECONDS)
         if route.repeatable or request.method in _IDEMPOTENT:
             return await self._call_repeatable(request, route, rest, organisation, deadline)
-        key = get_key(request, route)
+        key = get_idempotency_key(request, route)
         if isinstance(key, Failure):
             return key
         return await self._call_once(request, route, rest, organisation, key, deadline)
@@ -93,7 +93,7 @@
         organisation: Organisation,
         deadline: float,
     ) -> Answer:
-        self._env.budget.note_try()
+        self._env.budget.record_first_attempt()
         answer: Answer = _make_no_upstream_failure(route)
         ran = Ran.NO
         for attempt in range(_MAX_ATTEMPTS):
@@ -106,7 +106,7 @@
                 return answer
             ran = answer.ran if answer.ran is not Ran.NO else ran
             is_late = anyio.current_time() >= deadline
-            if is_late or not self._env.budget.take():
+            if is_late or not self._env.budget.try_acquire():
                 break
             await anyio.sleep(get_backoff(attempt, self._env.random))
         assert isinstance(answer, Failure)
@@ -131,7 +131,7 @@
         outcome = await self._claims.acquire(name, key, digest, upstream.name, generation)
         refused = outcome if isinstance(outcome, Failure) else outcome.failure
         if refused is not None:
-            return refuse_unclaimed(refused)
+            return make_unclaimed_failure(refused)
         assert not isinstance(outcome, Failure)
         if not outcome.acquired and outcome.claim is not None:
             return _answer_claimed(outcome.claim)
@@ -147,9 +147,9 @@
 
         An earlier attempt with the same key may have run.
         """
-        outcome = await self._claims.look(organisation.name, key, _hash_call(request))
+        outcome = await self._claims.read(organisation.name, key, _hash_call(request))
         if isinstance(outcome, Failure):
-            return refuse_unclaimed(outcome)
+            return make_unclaimed_failure(outcome)
         if outcome.failure is not None:
             return outcome.failure
         return _answer_claimed(outcome.claim) if outcome.claim else _make_no_upstream_failure(route)
@@ -223,7 +223,7 @@
     def _make_timeout_failure(self) -> Failure:
         """Return the failure of a call that timed out: a shutdown of this entry or its deadline."""
         if anyio.current_time() >= self._env.ends_at - LAST_ANSWER_SECONDS:
-            return make_leaving(Ran.UNKNOWN)
+            return make_shutdown_failure(Ran.UNKNOWN)
         return Failure(
             FailureKind.DEADLINE,
             "the upstream did not answer before the deadline",
@@ -250,7 +250,7 @@
 
 def _encode_response(response: Response) -> str:
     """Return a response as text for the claim journal, or an empty text if it is too large."""
-    if len(response.body) > CLAIM_ANSWER_BYTES // 2:
+    if len(response.body) > MAX_CLAIM_ANSWER_BYTES // 2:
         return ""
     body = base64.b64encode(response.body).decode()
     return orjson.dumps([response.status, body, response.content_type]).decode()
--- a/src/daleroad/serving.py
+++ b/src/daleroad/serving.py
@@ -14,9 +14,9 @@
 
 from daleroad.channelserver import CHANNEL_PATH, ChannelAnswer, ChannelServer
 from daleroad.compression import ENCODING, pack, unpack
-from daleroad.ending import Ending, make_leaving
 from daleroad.errors import DaleroadError, Failure, FailureKind, Ran
 from daleroad.settings import Tls
+from daleroad.shutdown import ShutdownScopes, make_shutdown_failure
 
 _STATUS: dict[FailureKind, int] = {
     FailureKind.BAD_REQUEST: 400,
@@ -96,7 +96,8 @@
     :param body_bytes: the largest body that is accepted.
     :param compress: whether compressed bodies are read, and whole answers compressed for callers
         that take them so; not where bodies only pass through.
-    :param ending: cuts off what is still answered at the process's end; :func:`serve_app` gives it.
+    :param shutdown_scopes: cuts off what is still answered at the process's end;
+        :func:`serve_app` gives it.
     :param channels: serves channels; without it calls come one in a request.
     """
 
@@ -104,7 +105,7 @@
     compress: bool = False
     routes: dict[tuple[str, str], Handler] = field(default_factory=dict)
     mounts: dict[str, AsgiApp] = field(default_factory=dict)
-    ending: Ending | None = None
+    shutdown_scopes: ShutdownScopes | None = None
     channels: ChannelServer | None = None
 
     def add(self, method: str, path: str, handler: Handler) -> None:
@@ -142,7 +143,7 @@
         answer = await self._answer(scope, headers, receive)
         if self.compress and ENCODING in headers.get("accept-encoding", ""):
             answer = _compress(answer)
-        await _send_answer(answer, receive, send, self.ending)
+        await _send_answer(answer, receive, send, self.shutdown_scopes)
 
     async def _answer(
         self, scope: dict[str, Any], headers: Mapping[str, str], receive: Receive
@@ -151,10 +152,10 @@
         if isinstance(found, Failure):
             return found
         handler, tail = found
-        if self.ending is None:
+        if self.shutdown_scopes is None:
             body = await self._read_body(receive)
         else:
-            body = await _run_until(self.ending, self._read_body(receive), Ran.NO)
+            body = await _run_until(self.shutdown_scopes, self._read_body(receive), Ran.NO)
         packed = self.compress and headers.get("content-encoding") == ENCODING
         if packed and not isinstance(body, Failure):
             body = unpack(body, self.body_bytes)
@@ -163,9 +164,9 @@
         query = scope.get("query_string", b"").decode("latin-1")
         request = Request(scope["method"], scope["path"], tail, query, headers, body)
         try:
-            if self.ending is None:
+            if self.shutdown_scopes is None:
                 return await handler(request)
-            return await _handle_until(self.ending, handler, request)
+            return await _handle_until(self.shutdown_scopes, handler, request)
         except DaleroadError as error:
             return error.failure
 
@@ -211,18 +212,18 @@
                 return b"".join(parts)
 
 
-async def _handle_until(ending: Ending, handler: Handler, request: Request) -> Answer:
+async def _handle_until(ending: ShutdownScopes, handler: Handler, request: Request) -> Answer:
     """Answer a request, but not beyond the process's end."""
-    if ending.is_over:
-        return make_leaving(Ran.NO)
+    if ending.is_shut_down:
+        return make_shutdown_failure(Ran.NO)
     return await _run_until(ending, handler(request), Ran.UNKNOWN)
 
 
-async def _run_until(ending: Ending, work: Awaitable[T], ran: Ran) -> T | Failure:
+async def _run_until(ending: ShutdownScopes, work: Awaitable[T], ran: Ran) -> T | Failure:
     """Wait for work, but not beyond the process's end; ``ran`` says what a cut may have done."""
-    with ending.watch():
+    with ending.open_scope():
         return await work
-    return make_leaving(ran)
+    return make_shutdown_failure(ran)
 
 
 def make_problem(failure: Failure) -> dict[str, object]:
@@ -291,7 +292,7 @@
 
 
 async def _send_answer(
-    answer: Answer, receive: Receive, send: SendEvent, ending: Ending | None
+    answer: Answer, receive: Receive, send: SendEvent, ending: ShutdownScopes | None
 ) -> None:
     match answer:
         case Failure():
@@ -310,7 +311,7 @@
 
 
 async def _send_while_connected(
-    stream: Stream, receive: Receive, send: SendEvent, ending: Ending | None
+    stream: Stream, receive: Receive, send: SendEvent, ending: ShutdownScopes | None
 ) -> None:
     """Send a stream, but stop when the caller goes away."""
 
@@ -326,7 +327,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def _send_stream(stream: Stream, send: SendEvent, ending: Ending | None) -> None:
+async def _send_stream(stream: Stream, send: SendEvent, ending: ShutdownScopes | None) -> None:
     piece = await _take_piece(stream.pieces, ending)
     if isinstance(piece, Failure):
         await _send_response(make_response(piece), send)
@@ -341,7 +342,7 @@
 
 
 async def _take_piece(
-    pieces: AsyncGenerator[bytes, None], ending: Ending | None
+    pieces: AsyncGenerator[bytes, None], ending: ShutdownScopes | None
 ) -> bytes | Failure | None:
     """Return a stream's next piece, nothing at its end, or a failure where it is cut off."""
     # Only the wait is cut off: a piece that is being sent may be the last, without error behind it.
@@ -402,15 +403,15 @@
     """
     config = make_config([bind], tls)
     config.graceful_timeout = grace + ENDING_SECONDS
-    ending = Ending()
-    app.ending = ending
+    ending = ShutdownScopes()
+    app.shutdown_scopes = ending
 
     async def end_late() -> None:
         try:
             await wait_stop()
             await anyio.sleep(grace)
         finally:
-            ending.end()
+            ending.cancel_all()
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(end_late)
--- a/src/daleroad/ending.py
+++ b/src/daleroad/shutdown.py
@@ -11,25 +11,25 @@
 """Short, since other instances are still serving."""
 
 
-class Ending:
+class ShutdownScopes:
     """Cancels the registered scopes of one process when it shuts down."""
 
     def __init__(self) -> None:
         self._scopes: set[CancelScope] = set()
-        self.is_over = False
+        self.is_shut_down = False
 
-    def end(self) -> None:
+    def cancel_all(self) -> None:
         """Cancel all current scopes, and each later one on entry."""
-        self.is_over = True
+        self.is_shut_down = True
         for scope in self._scopes:
             scope.cancel()
 
     @contextmanager
-    def watch(self) -> Iterator[CancelScope]:
+    def open_scope(self) -> Iterator[CancelScope]:
         """Run a block in a scope that is cancelled at shutdown; the scope tells whether it was."""
         with CancelScope() as scope:
             self._scopes.add(scope)
-            if self.is_over:
+            if self.is_shut_down:
                 scope.cancel()
             try:
                 yield scope
@@ -37,7 +37,7 @@
                 self._scopes.discard(scope)
 
 
-def make_leaving(ran: Ran) -> Failure:
+def make_shutdown_failure(ran: Ran) -> Failure:
     """Return the failure of a request that is refused or cancelled because of shutdown.
 
     :param ran: whether the request ran.
--- a/src/daleroad/sitelog.py
+++ b/src/daleroad/sitelog.py
@@ -22,7 +22,7 @@
 from daleroad.evacuations import EvacuatedZones, ZoneOrder
 from daleroad.group import Group
 from daleroad.notices import ReadAnswer, SaveAnswer, SaveRequest
-from daleroad.routing import RoutingConfig, find_fault
+from daleroad.routing import RoutingConfig, validate_config
 from daleroad.siterecord import Document, SiteRecord
 
 Parse = Callable[[bytes], RoutingConfig | Failure]
@@ -65,7 +65,7 @@
         config = self._parse(document)
         if isinstance(config, Failure):
             return config
-        fault = find_fault(config)
+        fault = validate_config(config)
         if fault is not None:
             return fault
         version, text = config.version, document.decode()
--- a/src/daleroad/stewardship.py
+++ b/src/daleroad/stewardship.py
@@ -86,7 +86,9 @@
 
     # Permits.
 
-    async def ask(self, upstream: Upstream, work: Work, wait: bool) -> PermitAnswer | Failure:
+    async def request_permit(
+        self, upstream: Upstream, work: Work, wait: bool
+    ) -> PermitAnswer | Failure:
         """Request a permit from the upstream's steward, locally or over the network.
 
         :param upstream: the upstream.
@@ -102,7 +104,7 @@
         name = env.settings.name
         request = PermitRequest(name, upstream.name, env.catalog.epoch, wait, work)
         if steward.name == name:
-            answer = await self.decide(request)
+            answer = await self.decide_permit(request)
         else:
             url = f"{steward.address}/permits"
             limit = CALL_TIMEOUT_SECONDS + (work.deadline if wait else 0)
@@ -114,7 +116,7 @@
             env.loads[upstream.name] = 1.0 + (answer.retry_after or 0)
         return answer
 
-    async def decide(self, request: PermitRequest) -> PermitAnswer | Failure:
+    async def decide_permit(self, request: PermitRequest) -> PermitAnswer | Failure:
         """Decide on a permit request as steward; may block until the work's deadline.
 
         :param request: the request.
@@ -164,7 +166,7 @@
             FailureKind.OVERLOADED, "the work is still queued", retry_after=decision.wait_seconds
         )
 
-    def end_locally(self, end: PermitEnd) -> None:
+    def release_permit(self, end: PermitEnd) -> None:
         """Release a permit as the upstream's steward.
 
         :param end: the permit, and how the work ended.
@@ -174,7 +176,7 @@
             managed.admission.finish(end.generation, end.tokens, end.ok and end.started)
             self._process_queue(managed)
 
-    async def end(self, end: PermitEnd) -> None:
+    async def return_permit(self, end: PermitEnd) -> None:
         """Return a permit, locally or over the network, to the upstream's steward to release it.
 
         :param end: the permit, and how the work ended.
@@ -183,11 +185,11 @@
         if steward is None:
             return
         if steward.name == self._env.settings.name:
-            self.end_locally(end)
+            self.release_permit(end)
         else:
             await self._env.links.call(f"{steward.address}/permits/end", encode(end), type(None))
 
-    def restore(self, handover: Handover) -> None:
+    def restore_work(self, handover: Handover) -> None:
         """Restore work that a former steward admitted and an entry still delivers.
 
         :param handover: the work, and the tokens produced so far.
@@ -222,7 +224,7 @@
 
     # Upstreams.
 
-    def announce(self, upstream: Upstream) -> str | None:
+    def handle_announcement(self, upstream: Upstream) -> str | None:
         """Process an upstream's announcement and return its steward's base URL.
 
         :param upstream: the upstream.
@@ -238,7 +240,7 @@
             self._record_upstream(upstream.name, upstream)
         return steward.address
 
-    def tell(
+    def handle_report(
         self, name: str, load: UpstreamReport, draining: bool, left: bool, models: list[str]
     ) -> bool:
         """Process an upstream's report; return whether this entry is its steward.
@@ -265,7 +267,7 @@
         self._process_queue(managed)
         return True
 
-    def refresh(self) -> None:
+    def update_assignments(self) -> None:
         """Start or stop managing upstreams after a membership change.
 
         Also hands over this entry's generations to new stewards, and forgets upstreams that left.
@@ -365,7 +367,7 @@
         produced = tuple(inflight.produced for inflight in delivered)
         handover = Handover(name, works, produced)
         if steward.name == self._env.settings.name:
-            self.restore(handover)
+            self.restore_work(handover)
             return
         url = f"{steward.address}/permits/restore"
         await self._env.links.call(url, encode(handover), type(None))
--- a/src/daleroad/runs.py
+++ b/src/daleroad/streams.py
@@ -12,8 +12,8 @@
 
 import anyio
 
-from daleroad.dispatch import Attempt, Lost, NotRun, Piece, Source, Stream, Whole
-from daleroad.draining import Need
+from daleroad.dispatch import Attempt, CopySource, Lost, NotRun, Stream, StreamEvent, Whole
+from daleroad.draining import DurationEstimate
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
 from daleroad.fingerprints import fingerprint_job
@@ -33,33 +33,33 @@
 
 
 @dataclass(frozen=True)
-class Continuation:
+class ResumePoint:
     """An engine that can resume a generation, and the source of the generation's memory."""
 
     instance: Instance
-    source: Source
+    source: CopySource
 
 
 @dataclass
-class Tries:
+class RetryState:
     """The attempts of one request, and the limit on restarting its stream.
 
-    :param upstreams: ids of the upstreams that it was sent to.
-    :param most: allowed number of executions on upstreams if the route allows a restart elsewhere,
+    :param tried_ids: ids of the upstreams that it was sent to.
+    :param max_runs: allowed number of executions on upstreams if the route allows a restart elsewhere,
         else 0.
     :param ran: number of sends so far that may have led to an execution; resuming from copied
         memory does not count.
     :param need: estimated duration of another execution.
     """
 
-    upstreams: set[str] = field(default_factory=set)
-    most: int = 0
+    tried_ids: set[str] = field(default_factory=set)
+    max_runs: int = 0
     ran: int = 1
-    need: Need = Need(0.0, 0.0)
+    need: DurationEstimate = DurationEstimate(0.0, 0.0)
 
 
 @dataclass
-class Run:
+class StreamRun:
     """One stream that is being delivered to a client, even if its upstream changes midway.
 
     :param attempt: the current attempt and its upstream.
@@ -69,15 +69,16 @@
     :param backup: an engine that receives a copy of the memory while the generation runs.
     :param events: number of events delivered.
     :param last_event: id of the last event that had one.
-    :param moving: whether a migration off its engine was started.
-    :param continuation: set once the generation was stopped and its memory copied elsewhere.
-    :param settled: set when the migration has ended, successfully or not, or the stream is closed.
+    :param migrating: whether a migration off its engine was started.
+    :param resume_point: set once the generation was stopped and its memory copied elsewhere.
+    :param migration_done: set when the migration has ended, successfully or not, or the stream is closed.
     :param ended: whether the stream was closed.
     :param outcome: how the stream ended. A client disconnect only cancels the delivery, so it is
         assumed until another end is known.
     :param reason: why the stream failed; set only if it was cut and could not be resumed.
     :param tries: attempts so far, and the limit on restarting the stream.
-    :param pause: longest pause between events that the route allows, in seconds; 0 for no limit.
+    :param max_pause: longest pause between events that the route allows, in seconds; 0 for no
+        limit.
     :param longest_pause: longest pause between events so far, in seconds.
     :param last_event_at: when the last event arrived.
     """
@@ -89,54 +90,54 @@
     backup: Instance | None = None
     events: int = 0
     last_event: str = ""
-    moving: bool = False
-    continuation: Continuation | None = None
-    settled: anyio.Event = field(default_factory=anyio.Event)
+    migrating: bool = False
+    resume_point: ResumePoint | None = None
+    migration_done: anyio.Event = field(default_factory=anyio.Event)
     ended: bool = False
     outcome: StreamEnd = StreamEnd.CLIENT
     reason: str = ""
-    tries: Tries = field(default_factory=Tries)
-    pause: float = 0.0
+    tries: RetryState = field(default_factory=RetryState)
+    max_pause: float = 0.0
     longest_pause: float = 0.0
     last_event_at: float = 0.0
 
 
-class Mover(Protocol):
+class Migrator(Protocol):
     """Migrates generations off engines that are shutting down or have failed."""
 
-    def begin(self, run: Run) -> None:
+    def start_migration(self, run: StreamRun) -> None:
         """Start to migrate a run off an engine that is shutting down."""
 
-    async def continue_cut(self, run: Run) -> Continuation | None:
+    async def find_resume_point(self, run: StreamRun) -> ResumePoint | None:
         """Return the engine that can resume a run whose stream was cut, if there is one."""
 
 
-class Runs:
+class StreamRegistry:
     """The open streams of one gateway.
 
     :param gateway: the gateway.
     :param mover: migrates generations between engines.
     """
 
-    def __init__(self, gateway: Gateway, mover: Mover) -> None:
+    def __init__(self, gateway: Gateway, mover: Migrator) -> None:
         self._gateway = gateway
         self._mover = mover
-        self._runs: dict[str, Run] = {}
+        self._runs: dict[str, StreamRun] = {}
 
     def count(self) -> int:
         """Return the number of open streams."""
         return len(self._runs)
 
-    def leave_engine(self, instance: Instance) -> None:
+    def migrate_off(self, instance: Instance) -> None:
         """Start to migrate all streams off an instance that is leaving.
 
         :param instance: the instance.
         """
         for run in list(self._runs.values()):
             if run.attempt.instance.id == instance.id:
-                self._mover.begin(run)
+                self._mover.start_migration(run)
 
-    def open(self, run: Run) -> None:
+    def open(self, run: StreamRun) -> None:
         """Register a stream; :meth:`close` must be called later.
 
         :param run: the stream.
@@ -144,14 +145,14 @@
         self._runs[run.attempt.job.id] = run
         self._migrate_if_leaving(run)
 
-    async def deliver(self, run: Run) -> AsyncGenerator[bytes | Failure, None]:
+    async def deliver(self, run: StreamRun) -> AsyncGenerator[bytes | Failure, None]:
         """Yield a stream's events, resuming on other upstreams after cuts; a failure is last.
 
         :param run: the stream.
         """
         while True:
             cut: Lost | None = None
-            async for piece in run.stream.pieces():
+            async for piece in run.stream.events():
                 if isinstance(piece, Lost):
                     cut = piece
                     break
@@ -167,12 +168,12 @@
                 yield failure
                 return
 
-    def note_stop(self) -> None:
+    def mark_stopping(self) -> None:
         """Set the outcome of all open streams to STOP; a stream that still ends overwrites it."""
         for run in self._runs.values():
             run.outcome = StreamEnd.STOP
 
-    async def close(self, run: Run) -> None:
+    async def close(self, run: StreamRun) -> None:
         """Unregister a stream, release its load, close its connection and log its end.
 
         :param run: the stream.
@@ -180,17 +181,17 @@
         if run.outcome is StreamEnd.CLIENT and anyio.current_time() >= run.deadline:
             run.outcome = StreamEnd.DEADLINE
         run.ended = True
-        run.settled.set()
+        run.migration_done.set()
         self._runs.pop(run.attempt.job.id, None)
         self._release_loads(run)
         with anyio.CancelScope(shield=True):
             await run.stream.close()
         self._log_end(run)
 
-    async def _resume(self, run: Run, cut: Lost) -> Failure | None:
+    async def _resume(self, run: StreamRun, cut: Lost) -> Failure | None:
         """Resume a stream that was cut: from copied memory, or else by a restart elsewhere."""
         cut_at = anyio.current_time()
-        continuation = await self._mover.continue_cut(run)
+        continuation = await self._mover.find_resume_point(run)
         if continuation is not None:
             failure = await self._resume_at(run, continuation.instance, continuation.source, cut_at)
         else:
@@ -203,12 +204,12 @@
             failure = await self._resume_at(run, instance, None, cut_at)
         return failure
 
-    def _pick_restart_instance(self, run: Run) -> Instance | None:
+    def _pick_restart_instance(self, run: StreamRun) -> Instance | None:
         """Return an upstream on which a stream may be restarted after its last event, if any."""
         gateway = self._gateway
         tries = run.tries
         service = gateway.get_service(run.attempt.instance.service)
-        if service is None or tries.ran >= tries.most:
+        if service is None or tries.ran >= tries.max_runs:
             return None
         job, organisation = run.attempt.job, run.attempt.organisation
         if gateway.guard.get_standing(job, organisation) is not Standing.CLEAR:
@@ -216,26 +217,26 @@
             # client sends it again, the forwarder decides whether it may run.
             return None
         now = anyio.current_time()
-        if not tries.need.fits(gateway.ends_at - now, run.deadline - now):
+        if not tries.need.fits(gateway.exits_at - now, run.deadline - now):
             # By the estimate, this gateway exits before the stream ends. A failure now lets the
             # client resume elsewhere at once.
             return None
         prompt = run.attempt.job.prompt
         selector = gateway.selector
-        found = selector.pick(service, run.tokens, tries.upstreams, prompt)
-        found = found or selector.pick_rate_limited(service, run.tokens, tries.upstreams)
-        if found is None or not gateway.take_repeat(service.name):
+        found = selector.pick(service, run.tokens, tries.tried_ids, prompt)
+        found = found or selector.pick_rate_limited(service, run.tokens, tries.tried_ids)
+        if found is None or not gateway.take_retry(service.name):
             return None
         return found
 
     async def _resume_at(
-        self, run: Run, instance: Instance, source: Source | None, cut_at: float
+        self, run: StreamRun, instance: Instance, source: CopySource | None, cut_at: float
     ) -> Failure | None:
         """Resume a stream on an upstream; without a source of memory it is restarted there."""
         seconds = run.deadline - anyio.current_time()
         if seconds <= 0:
-            return Failure(FailureKind.DEADLINE, "the time is over", Ran.PARTIAL)
-        run.tries.upstreams.add(instance.id)
+            return Failure(FailureKind.DEADLINE, "the deadline has passed", Ran.PARTIAL)
+        run.tries.tried_ids.add(instance.id)
         backup = None
         if source is None:
             # The previous upstream stops the generation if it notices that its connection closed.
@@ -265,7 +266,7 @@
         return None
 
     def _make_resume_failure(
-        self, run: Run, instance: Instance, reply: NotRun | Lost | Whole
+        self, run: StreamRun, instance: Instance, reply: NotRun | Lost | Whole
     ) -> Failure:
         """Log why a stream could not be resumed on an instance, and return the failure."""
         reason = f"status {reply.status}" if isinstance(reply, Whole) else reply.reason
@@ -273,7 +274,12 @@
         return Failure(FailureKind.UPSTREAM_LOST, reason, Ran.PARTIAL)
 
     def _switch_upstream(
-        self, run: Run, attempt: Attempt, stream: Stream, backup: Instance | None, cut_at: float
+        self,
+        run: StreamRun,
+        attempt: Attempt,
+        stream: Stream,
+        backup: Instance | None,
+        cut_at: float,
     ) -> None:
         self._release_loads(run)
         self._attach(run, attempt, stream, backup)
@@ -287,30 +293,32 @@
         )
         self._migrate_if_leaving(run)
 
-    def _attach(self, run: Run, attempt: Attempt, stream: Stream, backup: Instance | None) -> None:
+    def _attach(
+        self, run: StreamRun, attempt: Attempt, stream: Stream, backup: Instance | None
+    ) -> None:
         run.attempt = attempt
         run.stream = stream
         run.backup = backup
-        run.moving = False
-        run.continuation = None
-        run.settled = anyio.Event()
+        run.migrating = False
+        run.resume_point = None
+        run.migration_done = anyio.Event()
         self._gateway.loads.add_load(attempt.instance, 1, run.tokens)
         if backup is not None:
             self._gateway.loads.add_load(backup, 0, run.tokens)
 
-    def _migrate_if_leaving(self, run: Run) -> None:
+    def _migrate_if_leaving(self, run: StreamRun) -> None:
         known = self._gateway.fleet.get(run.attempt.instance.id)
         if known is None or self._gateway.fleet.is_replaced(known):
             return
         if known.state is not InstanceState.READY:
-            self._mover.begin(run)
+            self._mover.start_migration(run)
 
-    def _release_loads(self, run: Run) -> None:
+    def _release_loads(self, run: StreamRun) -> None:
         self._gateway.loads.add_load(run.attempt.instance, -1, -run.tokens)
         if run.backup is not None:
             self._gateway.loads.add_load(run.backup, 0, -run.tokens)
 
-    def _log_end(self, run: Run) -> None:
+    def _log_end(self, run: StreamRun) -> None:
         fingerprint = ""
         if run.outcome is StreamEnd.UPSTREAM:
             fingerprint = fingerprint_job(run.attempt.job, run.attempt.organisation)
@@ -320,12 +328,12 @@
             upstream=run.attempt.instance.id,
             events=run.events,
             prompt=run.attempt.job.prompt.tokens if run.attempt.job.prompt else 0,
-            most=run.attempt.job.prompt.most_output if run.attempt.job.prompt else 0,
+            most=run.attempt.job.prompt.max_output_tokens if run.attempt.job.prompt else 0,
             outcome=run.outcome.value,
             reason=run.reason,
             fingerprint=fingerprint,
             longest_pause=round(run.longest_pause, 3),
-            paused=0 < run.pause < run.longest_pause,
+            paused=0 < run.max_pause < run.longest_pause,
             seconds=round(anyio.current_time() - run.attempt.job.received_at, 3),
         )
 
@@ -335,7 +343,7 @@
     return StreamEnd.DEADLINE if failure.kind is FailureKind.DEADLINE else StreamEnd.UPSTREAM
 
 
-def _record_event(run: Run, piece: Piece) -> bool:
+def _record_event(run: StreamRun, piece: StreamEvent) -> bool:
     """Record an event; return whether it is new to the client.
 
     Only decimal ids are compared; they increase within a stream. Any other event counts as new.
--- a/src/daleroad/delivery.py
+++ b/src/daleroad/tokensequence.py
@@ -21,7 +21,7 @@
     end: bool = False
 
 
-class Verdict(Enum):
+class FrameAction(Enum):
     """How to handle a frame."""
 
     DELIVER = auto()
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Delivery:
+class TokenSequence:
     """Tracks the position in one generation's token sequence.
 
     :param generation: id of the only generation whose tokens are delivered.
@@ -41,7 +41,7 @@
     generation: str
     next_index: int = 0
 
-    def judge(self, frame: Frame) -> Verdict:
+    def accept(self, frame: Frame) -> FrameAction:
         """Return how to handle a frame, and advance if it is delivered.
 
         :param frame: the frame.
@@ -49,17 +49,17 @@
         if frame.end:
             return self._judge_end(frame)
         if frame.generation != self.generation or frame.index < self.next_index:
-            return Verdict.DROP
+            return FrameAction.DROP
         if frame.index > self.next_index:
-            return Verdict.GAP
+            return FrameAction.GAP
         self.next_index += 1
-        return Verdict.DELIVER
+        return FrameAction.DELIVER
 
-    def _judge_end(self, frame: Frame) -> Verdict:
+    def _judge_end(self, frame: Frame) -> FrameAction:
         if frame.generation != self.generation:
-            return Verdict.DROP
+            return FrameAction.DROP
         # The end frame carries the token count, so a higher count means that tokens are missing.
-        return Verdict.END if frame.index <= self.next_index else Verdict.GAP
+        return FrameAction.END if frame.index <= self.next_index else FrameAction.GAP
 
 
 def split_events(buffer: bytearray, chunk: bytes) -> Iterator[bytes]:
--- a/src/daleroad/watching.py
+++ b/src/daleroad/watching.py
@@ -205,14 +205,17 @@
                 gather,
                 exchanges_loads,
                 full_document,
-                gateway.news.list_after(progress.last_suspicion),
+                gateway.suspicion_outbox.list_after(progress.last_suspicion),
                 progress.suspects,
                 gateway.guard.zones.version,
-                gateway.list_upstream_news(progress.last_upstream_change),
+                gateway.list_upstream_notices(progress.last_upstream_change),
             )
             now = anyio.current_time()
             return _SentWatch(
-                encode(message), now, gateway.news.newest, gateway.upstream_news.newest
+                encode(message),
+                now,
+                gateway.suspicion_outbox.newest,
+                gateway.upstream_outbox.newest,
             )
 
         request = make_request()
@@ -252,11 +255,11 @@
         """
         gateway = self._gateway
         now = anyio.current_time()
-        gateway.heard_at = max(gateway.heard_at, made_at)
+        gateway.last_heard_at = max(gateway.last_heard_at, made_at)
         gateway.selector.gateways = max(1, answer.gateways)
         if self._is_load_exchange_peer(name):
             # A coordinator that just started doesn't know all gateways yet; the leader mostly does.
-            gateway.others = answer.others
+            gateway.other_gateways = answer.others
         if answer.zones is not None and gateway.replace_zones(answer.zones):
             _log_zones(answer.zones, name)
         self._coordinators = answer.coordinators
@@ -268,7 +271,7 @@
         changed = gateway.fleet.note_all(answer.sightings, made_at)
         for instance in changed:
             self._log_change(instance.id, instance.state, name)
-        gateway.note_changes(changed)
+        gateway.apply_instance_changes(changed)
         gateway.fleet.note_ages(answer.ages, made_at)
         self._apply_suspicions(answer, now)
         if answer.loads is not None:
@@ -284,7 +287,7 @@
             suspects.merge(suspicion, now)
             refuted = suspects.apply_credits(suspicion.fingerprint, now)
             if refuted is not None:
-                self._gateway.tell(refuted)
+                self._gateway.publish_suspicion(refuted)
             standing = suspects.get_standing(suspicion.fingerprint, now)
             if standing is not before:
                 log_suspect(suspects.get(suspicion.fingerprint, now), standing)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -7,15 +7,15 @@
 
 from daleroad.dispatch import (
     Attempt,
+    ClientRequest,
     Copied,
     CopyFault,
     EngineReport,
-    Job,
     Lost,
     NotCopied,
-    Piece,
     Prompt,
     Reply,
+    StreamEvent,
     Whole,
 )
 from daleroad.errors import Failure, FailureKind
@@ -23,7 +23,7 @@
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.metrics import Metrics, RequestMetrics
-from daleroad.moving import EngineMover
+from daleroad.migration import EngineMigrator
 from daleroad.routing import (
     EngineRule,
     Repeat,
@@ -32,8 +32,8 @@
     ServiceRule,
     Target,
 )
-from daleroad.runs import Runs
 from daleroad.selection import GatewayOptions
+from daleroad.streams import StreamRegistry
 
 ENGINE = EngineRule(24, 34_000, 0.00005, True, True)
 PROMPT = Prompt((("p", 3000),), 3000, 2000)
@@ -63,9 +63,11 @@
     return RoutingConfig(7, (route,), (service,), ())
 
 
-def make_job(now: float, seconds: float = 5.0, prompt: Prompt | None = None) -> Job:
+def make_job(now: float, seconds: float = 5.0, prompt: Prompt | None = None) -> ClientRequest:
     """Return a request that arrives now."""
-    return Job("id1", "POST", b"/x", "h", "/x", (), b"body", "", now, now + seconds, prompt)
+    return ClientRequest(
+        "id1", "POST", b"/x", "h", "/x", (), b"body", "", now, now + seconds, prompt
+    )
 
 
 class FakeStream:
@@ -80,9 +82,9 @@
         self._wait = wait
         self.closed = False
 
-    async def pieces(self) -> AsyncIterator[Piece | Lost]:
+    async def events(self) -> AsyncIterator[StreamEvent | Lost]:
         for number in self._events:
-            yield Piece(f"event {number}".encode(), str(number))
+            yield StreamEvent(f"event {number}".encode(), str(number))
         if self._wait is not None:
             await self._wait()
         if self._cut:
@@ -111,7 +113,7 @@
         return self.replies.pop(0)
 
     async def copy(
-        self, job: Job, source: Instance, destination: Instance, final: bool
+        self, job: ClientRequest, source: Instance, destination: Instance, final: bool
     ) -> Copied | NotCopied:
         self.copies.append((source.id, destination.id, final))
         self.copied_at.append(anyio.current_time())
@@ -133,7 +135,7 @@
     """Return a gateway that knows three upstreams."""
     options = GatewayOptions("10.0.0.9:80", "z", "region", (), 1.0, 0.2, 30, 10.0)
     gateway = Gateway(options, dispatcher, Random(1))
-    gateway.heard_at = now
+    gateway.last_heard_at = now
     if config is not None:
         gateway.replace_config(config)
     for number in (1, 2, 3):
@@ -143,5 +145,5 @@
 
 def make_forwarder(gateway: Gateway) -> Forwarder:
     """Return what serves requests for a gateway."""
-    runs = Runs(gateway, EngineMover(gateway))
+    runs = StreamRegistry(gateway, EngineMigrator(gateway))
     return Forwarder(gateway, runs, RequestMetrics(Metrics()))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -130,13 +130,13 @@
         options = GatewayOptions(f"10.0.1.{number}:80", "z", "r", seeds, 1.0, 1.0, 999, 10.0)
         client = EngineClient()
         gateway = Gateway(options, client, Random(number))
-        client.on_backpressure = gateway.note_backpressure
-        gateway.heard_at = anyio.current_time()
+        client.on_backpressure = gateway.apply_backpressure
+        gateway.last_heard_at = anyio.current_time()
         gateway.replace_config(make_config(repeat, attempts=2))
         if seeds:
             calls = ChannelCalls("secret")
             watcher = Watcher(gateway, calls, parse)
-            gateway.on_news = watcher.tell_now
+            gateway.on_update = watcher.tell_now
             gateway.selector.request_placement = PlacerClient(
                 gateway, calls, watcher.get_leader
             ).request_placement
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -11,7 +11,7 @@
 import anyio
 
 from daleroad.backpressure import Backpressure, UpstreamBackoffs
-from daleroad.dispatch import Attempt, CopyFault, NotCopied, NotRun, Source, Whole
+from daleroad.dispatch import Attempt, CopyFault, CopySource, NotCopied, NotRun, Whole
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.forwarding import Outcome
 from daleroad.gateway import Gateway
@@ -96,7 +96,7 @@
 
             gateway.selector.request_placement = answer_place
             gateway.selector.gateways = 2
-            gateway.note_backpressure(
+            gateway.apply_backpressure(
                 make_instance(2), Backpressure(backoff_seconds=BACKOFF_SECONDS)
             )
             job = make_job(anyio.current_time(), prompt=PROMPT)
@@ -108,7 +108,7 @@
 
     def test_upstream_is_used_again_after_backoff(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            gateway.note_backpressure(make_instance(2), Backpressure(backoff_seconds=0.05))
+            gateway.apply_backpressure(make_instance(2), Backpressure(backoff_seconds=0.05))
             attempt = Attempt(make_job(0.0), make_instance(2), "", 1.0)
             reply = await gateway.dispatcher.send(attempt)
             assert isinstance(reply, NotRun)
@@ -127,9 +127,11 @@
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
             before_restart = replace(make_instance(2), id="i2@1", name="i2", born=1)
             gateway.fleet.note(Sighting(before_restart, 0.0), anyio.current_time())
-            gateway.note_backpressure(before_restart, Backpressure(backoff_seconds=BACKOFF_SECONDS))
+            gateway.apply_backpressure(
+                before_restart, Backpressure(backoff_seconds=BACKOFF_SECONDS)
+            )
             after_restart = replace(before_restart, id="i2@2", born=2)
-            gateway.note_changes(
+            gateway.apply_instance_changes(
                 gateway.fleet.note(Sighting(after_restart, 0.0), anyio.current_time())
             )
             service = gateway.get_service("s")
@@ -153,11 +155,11 @@
 
     def test_no_stream_resumes_or_is_copied_during_backoff(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
-            gateway.note_backpressure(
+            gateway.apply_backpressure(
                 make_instance(2), Backpressure(backoff_seconds=BACKOFF_SECONDS)
             )
             job = make_job(0.0, prompt=PROMPT)
-            source = Source("10.0.0.1:1", "h", "3")
+            source = CopySource("10.0.0.1:1", "h", "3")
             resumed = Attempt(job, make_instance(2), "", 1.0, source=source)
             self.assertIsInstance(await gateway.dispatcher.send(resumed), NotRun)
             copied = await gateway.dispatcher.copy(job, make_instance(1), make_instance(2), True)
@@ -178,7 +180,7 @@
     def test_request_is_refused_as_not_run_when_all_back_off(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
             for number in (1, 2, 3):
-                gateway.note_backpressure(
+                gateway.apply_backpressure(
                     make_instance(number), Backpressure(backoff_seconds=BACKOFF_SECONDS)
                 )
             answer = await make_forwarder(gateway).serve(make_job(anyio.current_time()))
@@ -197,9 +199,9 @@
             moved: list[str] = []
             gateway.on_leaving = lambda instance: moved.append(instance.id)
             for _ in range(2):
-                gateway.note_backpressure(make_instance(2), Backpressure(leaving=True))
+                gateway.apply_backpressure(make_instance(2), Backpressure(leaving=True))
             self.assertEqual(moved, ["i2"])
-            self.assertEqual(gateway.list_upstream_news(0), (UpstreamNotice("i2", None, True),))
+            self.assertEqual(gateway.list_upstream_notices(0), (UpstreamNotice("i2", None, True),))
             attempt = Attempt(make_job(0.0), make_instance(2), "", 1.0)
             self.assertIsInstance(await gateway.dispatcher.send(attempt), NotRun)
 
@@ -213,14 +215,14 @@
                     sighting = Sighting(make_instance(number), 0.0)
                     coordinator.presence.fleet.note(sighting, anyio.current_time())
             await wait_for(lambda: all(g.fleet.count() == 2 for g in gateways))
-            gateways[0].note_backpressure(
+            gateways[0].apply_backpressure(
                 make_instance(1), Backpressure(max_requests_per_second=2.5)
             )
-            gateways[1].note_backpressure(make_instance(2), Backpressure(leaving=True))
+            gateways[1].apply_backpressure(make_instance(2), Backpressure(leaving=True))
             await wait_for(lambda: all(g.fleet.get_rate_limit("i1") == 2.5 for g in gateways))
             await wait_for(lambda: all(is_leaving(g, "i2") for g in gateways))
             await anyio.sleep(MIN_LIFT_DELAY_SECONDS)
-            gateways[3].note_backpressure(make_instance(1), Backpressure())
+            gateways[3].apply_backpressure(make_instance(1), Backpressure())
             await wait_for(lambda: all(g.fleet.get_rate_limit("i1") is None for g in gateways))
             sites.end_all()
 
--- a/tests/test_claims.py
+++ b/tests/test_claimjournal.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from daleroad.claims import Acquire, Claim, ClaimJournal, ClaimState, Release, Settle
+from daleroad.claimjournal import Acquire, Claim, ClaimJournal, ClaimState, Release, Settle
 from daleroad.errors import FailureKind
 
 
@@ -44,7 +44,7 @@
         self.assertIs(journal.claims["o", "k"].state, ClaimState.DONE)
 
     def test_settled_claims_expire_and_the_journal_size_is_bounded(self) -> None:
-        journal = ClaimJournal(most=3, keep_seconds=10.0)
+        journal = ClaimJournal(max_claims=3, retention_seconds=10.0)
         for n in range(3):
             journal.apply(Acquire(make_claim(f"g{n}", f"k{n}")))
         full = journal.apply(Acquire(make_claim("g3", "k3", at=1.0)))
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -122,7 +122,7 @@
             options = GatewayOptions("a", "z", "r", (), 1.0, 0.2, 30, 10.0, coordinator_timeout=5.0)
             gateway = Gateway(options, FakeDispatcher(), Random(1))
             gateway.replace_config(make_config(Repeat.ONCE))
-            gateway.heard_at = anyio.current_time()
+            gateway.last_heard_at = anyio.current_time()
             forwarder = make_forwarder(gateway)
             self.assertFalse(gateway.is_outdated())
             clock.suspend()
@@ -179,10 +179,10 @@
     def test_repeats_of_before_a_suspension_do_not_use_up_the_budget(self) -> None:
         async def main(clock: JumpingClock) -> None:
             gateway = make_gateway(FakeDispatcher(), None, anyio.current_time())
-            while gateway.take_repeat("s"):
+            while gateway.take_retry("s"):
                 pass
             clock.suspend()
-            self.assertTrue(gateway.take_repeat("s"))
+            self.assertTrue(gateway.take_retry("s"))
 
         run(main)
 
@@ -251,7 +251,7 @@
             calls = SlowCalls(clock, 0.05)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(Watcher(gateway, calls, parse).run)
-                while gateway.heard_at < 0:
+                while gateway.last_heard_at < 0:
                     await anyio.sleep(0.01)
                 tasks.cancel_scope.cancel()
             self.assertGreater(gateway.get_heard_age(), SUSPENDED_SECONDS)
--- a/tests/test_coldlimits.py
+++ b/tests/test_coldlimits.py
@@ -236,7 +236,7 @@
 
     def mark_cold(self, gateway: Gateway, *numbers: int) -> None:
         for number in numbers:
-            gateway.note_backpressure(make_instance(number), Backpressure(cold_seconds=9.0))
+            gateway.apply_backpressure(make_instance(number), Backpressure(cold_seconds=9.0))
 
     def test_nothing_is_sent_without_grant(self) -> None:
         async def body(gateway: Gateway, dispatcher: FakeDispatcher) -> None:
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -376,14 +376,14 @@
             await site.get(names[2]).presence.part("i")
             await wait_for(lambda: not gateway.fleet.list_ready("s"))
             # No other gateway accepts clients until one registers.
-            await wait_for(lambda: gateway.others == 0)
+            await wait_for(lambda: gateway.other_gateways == 0)
             other = Gateway(replace(options, address="10.0.0.2:80"), FakeDispatcher(), Random())
             site.tasks.start_soon(Watcher(other, ChannelCalls("secret"), parse).run)
-            await wait_for(lambda: gateway.others == 1)
+            await wait_for(lambda: gateway.other_gateways == 1)
             lookup_getters = [site.get(n).presence.find_lookup_life for n in names[:3]]
             self.assertEqual({getter() for getter in lookup_getters}, {LOOKUP_KEPT_SECONDS})
             other.serving = False
-            await wait_for(lambda: gateway.others == 0)
+            await wait_for(lambda: gateway.other_gateways == 0)
             # While a gateway drains, clients cache lookups for a shorter time, so that those which
             # it refuses don't turn to one that drains next.
             await wait_for(
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -12,7 +12,7 @@
 import trio.testing
 
 from daleroad.dispatch import Attempt, Lost, Reply
-from daleroad.forwarding import Flow
+from daleroad.forwarding import StreamResponse
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.routing import Repeat
@@ -57,7 +57,7 @@
         )
         assert self.gateway is not None
         self.gateway.fleet.note(Sighting(restarted, 0.0), now)
-        if attempt.own_connection:
+        if attempt.new_connection:
             return FakeStream(1, 0, cut=True)
         return Lost("the connection was closed")
 
@@ -75,7 +75,7 @@
             for number in range(times):
                 job = replace(make_job(anyio.current_time()), id=f"attempt {number}")
                 outcome = await forwarder.serve(job)
-                if isinstance(outcome, Flow):
+                if isinstance(outcome, StreamResponse):
                     self.assertEqual(len([p async for p in outcome.pieces]), 1)
                     await outcome.close()
                 await anyio.sleep(0.5)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -266,10 +266,10 @@
 class RetryTest(unittest.TestCase):
     def test_retries_are_limited_to_a_share_of_first_attempts(self) -> None:
         budget = RetryBudget(0.1, 3)
-        self.assertEqual([budget.take() for _ in range(4)], [True, True, True, False])
+        self.assertEqual([budget.try_acquire() for _ in range(4)], [True, True, True, False])
         for _ in range(100):
-            budget.note_try()
-        self.assertEqual(sum(budget.take() for _ in range(50)), 3)
+            budget.record_first_attempt()
+        self.assertEqual(sum(budget.try_acquire() for _ in range(50)), 3)
 
     def test_backoff_grows_up_to_a_maximum(self) -> None:
         random = Random(1)
--- a/tests/test_dispatchguard.py
+++ b/tests/test_dispatchguard.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from daleroad.dispatch import Attempt, Lost, NotRun, Reply, Source, Whole
+from daleroad.dispatch import Attempt, CopySource, Lost, NotRun, Reply, Whole
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
@@ -66,7 +66,7 @@
             for number in range(len(replies)):
                 reply = await gateway.dispatcher.send(make_attempt(1 + number))
                 if not isinstance(reply, NotRun | Lost | Whole):
-                    self.pieces = [piece async for piece in reply.pieces()]
+                    self.pieces = [piece async for piece in reply.events()]
             return gateway.guard.get_standing(make_job(0.0), "")
 
         return run(main)
@@ -89,7 +89,7 @@
         failed = Whole(500, (), b"")
         self.assertIs(self.send_and_get_standing(CUT, CUT, NotRun("full")), Standing.LAST_TRY)
         self.assertIs(
-            self.send_and_get_standing(CUT, CUT, failed, NotRun("gone", gone=True)),
+            self.send_and_get_standing(CUT, CUT, failed, NotRun("gone", address_reused=True)),
             Standing.LAST_TRY,
         )
 
@@ -128,8 +128,8 @@
             await hold(gateway)
             for changes in (
                 {},
-                {"last_event": "7", "own_connection": True},
-                {"source": Source("10.0.0.2:1", "handle", "7")},
+                {"last_event": "7", "new_connection": True},
+                {"source": CopySource("10.0.0.2:1", "handle", "7")},
                 {"backup": make_instance(3)},
             ):
                 reply = await gateway.dispatcher.send(make_attempt(1, **changes))
@@ -215,7 +215,7 @@
                 asked.append(fingerprint)
                 return granted
 
-            gateway.ask_trial = ask
+            gateway.request_trial = ask
             forwarder = make_forwarder(gateway)
             gateway.loads.add_load(make_instance(1), 1, 0)
             gateway.loads.add_load(make_instance(3), 1, 0)
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -31,14 +31,14 @@
     LOOKUP_KEPT_SECONDS,
 )
 from daleroad.dispatch import Lost, NotRun, Prompt  # noqa: E402
-from daleroad.draining import estimate_need, find_return, takes  # noqa: E402
+from daleroad.draining import estimate_duration, find_retry_after, should_accept  # noqa: E402
 from daleroad.errors import Failure, FailureKind, Ran  # noqa: E402
-from daleroad.forwarding import Flow, Forwarder, Outcome  # noqa: E402
+from daleroad.forwarding import Forwarder, Outcome, StreamResponse  # noqa: E402
 from daleroad.instances import Sighting  # noqa: E402
 from daleroad.metrics import Metrics, RequestMetrics  # noqa: E402
-from daleroad.moving import EngineMover  # noqa: E402
+from daleroad.migration import EngineMigrator  # noqa: E402
 from daleroad.routing import Repeat, RoutingConfig  # noqa: E402
-from daleroad.runs import Runs, StreamEnd  # noqa: E402
+from daleroad.streams import StreamEnd, StreamRegistry  # noqa: E402
 from tests.fakes import (  # noqa: E402
     WHOLE,
     FakeDispatcher,
@@ -71,8 +71,8 @@
 class PacedStream(FakeStream):
     """A stream with a pause before each event."""
 
-    async def pieces(self):
-        async for piece in super().pieces():
+    async def events(self):
+        async for piece in super().events():
             await anyio.sleep(EVENT_SECONDS)
             yield piece
 
@@ -203,7 +203,7 @@
         self.assertEqual(self.dispatcher.attempts, [])
 
     def test_stream_cut_by_the_exit_is_logged_as_such(self) -> None:
-        with patch("daleroad.runs.log_event") as log:
+        with patch("daleroad.streams.log_event") as log:
             answer = self.request_stream(PacedStream(1, LONG_EVENTS), 2216, after=None)
         self.assertEqual((answer.status, answer.whole), (200, False))
         self.assertGreater(answer.ended_at - self.stopped_at, GRACE_SECONDS - 0.7)
@@ -227,7 +227,7 @@
         back: float = 0.0,
     ) -> bool:
         route = replace(make_config(repeat).routes[0], objective=objective, pause=0.18)
-        return takes(estimate_need(route, prompt, 4), left, allowed, back)
+        return should_accept(estimate_duration(route, prompt, 4), left, allowed, back)
 
     def test_stream_is_accepted_if_its_longest_output_ends_in_time(self) -> None:
         cases = [
@@ -259,8 +259,8 @@
         route = make_config(Repeat.STREAM).routes[0]
         for pause, event_tokens, seconds in ((0.18, 1, 8.64), (0.18, 4, 2.16), (0.0, 4, 0.864)):
             with self.subTest(pause=pause, event_tokens=event_tokens):
-                need = estimate_need(replace(route, pause=pause), self.short, event_tokens)
-                self.assertAlmostEqual(need.finish, seconds)
+                need = estimate_duration(replace(route, pause=pause), self.short, event_tokens)
+                self.assertAlmostEqual(need.to_end, seconds)
 
     def test_request_without_a_stream_is_accepted_if_two_objectives_are_left(self) -> None:
         cases = [(0.2, 1.5, 0.5, True), (0.2, 1.5, 0.3, False), (2.0, 1.0, 1.1, True)]
@@ -284,10 +284,12 @@
         self.assertFalse(self.takes(Repeat.STREAM, None, **long))
 
     def test_retry_after_depends_on_the_other_gateways(self) -> None:
-        self.assertEqual(find_return(7.0, others=6, gateways=12), 0.0)
-        self.assertEqual(find_return(7.0, others=5, gateways=12), LOOKUP_KEPT_SECONDS)
-        self.assertEqual(find_return(7.0, others=0, gateways=12), 7.0 + GATEWAY_RESTART_SECONDS)
-        self.assertEqual(find_return(-1.0, others=0, gateways=1), GATEWAY_RESTART_SECONDS)
+        self.assertEqual(find_retry_after(7.0, others=6, gateways=12), 0.0)
+        self.assertEqual(find_retry_after(7.0, others=5, gateways=12), LOOKUP_KEPT_SECONDS)
+        self.assertEqual(
+            find_retry_after(7.0, others=0, gateways=12), 7.0 + GATEWAY_RESTART_SECONDS
+        )
+        self.assertEqual(find_retry_after(-1.0, others=0, gateways=1), GATEWAY_RESTART_SECONDS)
 
 
 class DrainingForwarderTest(unittest.TestCase):
@@ -317,7 +319,7 @@
             self.gateway = make_gateway(self.dispatcher, config, now)
             selector = self.gateway.selector
             selector.record_result = lambda instance, ok: ok or self.failed_ids.append(instance.id)
-            runs = Runs(self.gateway, EngineMover(self.gateway))
+            runs = StreamRegistry(self.gateway, EngineMigrator(self.gateway))
             forwarder = Forwarder(self.gateway, runs, RequestMetrics(Metrics()))
             prompt = Prompt((), 3000, most) if most else None
             async with anyio.create_task_group() as tasks:
@@ -326,7 +328,7 @@
                 outcome = await forwarder.serve(make_job(now, 20.0, prompt))
                 tasks.cancel_scope.cancel()
             self.seconds = anyio.current_time() - now
-            if isinstance(outcome, Flow):
+            if isinstance(outcome, StreamResponse):
                 await outcome.close()
             return outcome
 
@@ -334,7 +336,7 @@
 
     async def stop(self, at: float, left: float) -> None:
         await anyio.sleep(at)
-        self.gateway.others = self.others
+        self.gateway.other_gateways = self.others
         self.gateway.begin_drain(anyio.current_time() + left)
 
     def check_refused(self, outcome: Outcome) -> None:
@@ -346,7 +348,9 @@
         self.dispatcher.replies = [WHOLE]
         self.assertEqual(self.serve(Repeat.ONCE, stop_at=0.0, left=0.51), WHOLE)
         self.dispatcher.replies = [FakeStream(1, 3)]
-        self.assertIsInstance(self.serve(Repeat.STREAM, stop_at=0.0, left=1.5, most=48), Flow)
+        self.assertIsInstance(
+            self.serve(Repeat.STREAM, stop_at=0.0, left=1.5, most=48), StreamResponse
+        )
 
     def test_request_that_does_not_fit_is_refused_at_once_without_an_attempt(self) -> None:
         for repeat, most in ((Repeat.STREAM, 2000), (Repeat.ONCE, 0), (Repeat.IDEMPOTENT, 0)):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -22,7 +22,7 @@
 from daleroad.commandcalls import SECRET_VARIABLE
 from daleroad.coordinator import Coordinator
 from daleroad.defaults import EVACUATED_RETRY_SECONDS
-from daleroad.dispatch import Attempt, CopyFault, NotCopied, NotRun, Source, Whole
+from daleroad.dispatch import Attempt, CopyFault, CopySource, NotCopied, NotRun, Whole
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.evacuationcommands import EvacuationCommands
 from daleroad.evacuations import MAX_HISTORY, EvacuatedZones, Evacuations, ZoneOrder
@@ -316,8 +316,8 @@
             job = make_job(anyio.current_time())
             for changes in (
                 {},
-                {"last_event": "7", "own_connection": True},
-                {"source": Source(other.address, "handle", "7")},
+                {"last_event": "7", "new_connection": True},
+                {"source": CopySource(other.address, "handle", "7")},
                 {"backup": other},
             ):
                 reply = await gateway.dispatcher.send(Attempt(job, evacuated, "", 1.0, **changes))
@@ -353,7 +353,7 @@
             evacuated = put_in_zone(gateway, 1, "a")
             evacuate(gateway, "a")
             attempt = Attempt(make_job(anyio.current_time()), evacuated, "", 1.0)
-            gateway.heard_at = anyio.current_time() - 1000.0
+            gateway.last_heard_at = anyio.current_time() - 1000.0
             self.assertIsInstance(await gateway.dispatcher.send(attempt), NotRun)
             elsewhere = replace(attempt, instance=put_in_zone(gateway, 2, "b"))
             self.assertIsInstance(await gateway.dispatcher.send(elsewhere), Whole)
@@ -430,7 +430,7 @@
                 return chosen.pop(0)
 
             gateway.selector.place = choose_stale  # type: ignore[method-assign, assignment]
-            gateway.take_repeat = lambda service: False  # type: ignore[method-assign]
+            gateway.take_retry = lambda service: False  # type: ignore[method-assign]
             answer = await make_forwarder(gateway).serve(make_job(anyio.current_time()))
             self.assertIsInstance(answer, Whole)
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -11,13 +11,13 @@
 from daleroad.defaults import SILENCE_SECONDS, START_SECONDS
 from daleroad.dispatch import Lost, NotRun, Whole
 from daleroad.errors import Failure, FailureKind, Ran
-from daleroad.forwarding import Flow, Forwarder
+from daleroad.forwarding import Forwarder, StreamResponse
 from daleroad.gateway import Gateway
 from daleroad.instances import InstanceState, Sighting
 from daleroad.metrics import Metrics, RequestMetrics
-from daleroad.moving import EngineMover
+from daleroad.migration import EngineMigrator
 from daleroad.routing import OrganisationRule, Repeat, RoutingConfig
-from daleroad.runs import Runs
+from daleroad.streams import StreamRegistry
 from tests.fakes import (
     WHOLE,
     FakeDispatcher,
@@ -42,7 +42,7 @@
             metrics = RequestMetrics(Metrics())
             self.leaving_ids: list[str] = []
             self.gateway.on_leaving = lambda instance: self.leaving_ids.append(instance.id)
-            runs = Runs(self.gateway, EngineMover(self.gateway))
+            runs = StreamRegistry(self.gateway, EngineMigrator(self.gateway))
             forwarder = Forwarder(self.gateway, runs, metrics)
             return await forwarder.serve(replace(make_job(now), key=key))
 
@@ -69,7 +69,7 @@
             with self.subTest(first):
                 dispatcher = FakeDispatcher(first, FakeStream(1, 2))
                 config = make_config(Repeat.STREAM, 2, engine=True, resumable=True)
-                self.assertIsInstance(self.serve(dispatcher, config), Flow)
+                self.assertIsInstance(self.serve(dispatcher, config), StreamResponse)
                 self.assertEqual(len({a.instance.id for a in dispatcher.attempts}), 2)
 
     def test_only_streams_use_their_own_connection(self) -> None:
@@ -78,7 +78,7 @@
                 dispatcher = FakeDispatcher(WHOLE)
                 self.serve(dispatcher, make_config(repeat))
                 (attempt,) = dispatcher.attempts
-                self.assertEqual(attempt.own_connection, repeat is Repeat.STREAM)
+                self.assertEqual(attempt.new_connection, repeat is Repeat.STREAM)
 
     def test_silence_limit_of_a_stream_that_cannot_resume_is_its_clients_limit(self) -> None:
         expected = {
@@ -94,7 +94,7 @@
                 config = make_config(repeat, engine=True, resumable=resumable)
                 route = replace(config.routes[0], objective=1.8, pause=0.18)
                 self.serve(dispatcher, replace(config, routes=(route,)))
-                self.assertAlmostEqual(dispatcher.attempts[0].silence, silence)
+                self.assertAlmostEqual(dispatcher.attempts[0].silence_timeout_seconds, silence)
 
     def test_idempotent_request_is_retried_on_another_upstream(self) -> None:
         dispatcher = FakeDispatcher(Lost("reset"), WHOLE)
@@ -117,14 +117,14 @@
         not_sent = NotRun("refused", sent=False)
         dispatcher = FakeDispatcher(not_sent, not_sent, WHOLE)
         config = make_config(Repeat.ONCE)
-        with patch.object(Gateway, "take_repeat", lambda gateway, service: False):
+        with patch.object(Gateway, "take_retry", lambda gateway, service: False):
             self.assertEqual(self.serve(dispatcher, config), WHOLE)
             rejected = FakeDispatcher(NotRun("full"), WHOLE)
             self.assertIsInstance(self.serve(rejected, config), Failure)
         self.assertEqual(len({a.instance.id for a in dispatcher.attempts}), 3)
 
     def test_replaced_instance_is_not_used_again(self) -> None:
-        dispatcher = FakeDispatcher(NotRun("status 421", gone=True), WHOLE)
+        dispatcher = FakeDispatcher(NotRun("status 421", address_reused=True), WHOLE)
         self.assertEqual(self.serve(dispatcher, make_config(Repeat.ONCE)), WHOLE)
         replaced = dispatcher.attempts[0].instance.id
         self.assertEqual(self.leaving_ids, [])
@@ -179,7 +179,7 @@
                 leaving = make_instance(number, InstanceState.LEAVING)
                 gateway.fleet.note(Sighting(leaving, 0.0), now)
             metrics = RequestMetrics(Metrics())
-            runs = Runs(gateway, EngineMover(gateway))
+            runs = StreamRegistry(gateway, EngineMigrator(gateway))
             await Forwarder(gateway, runs, metrics).serve(make_job(now))
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/test_grantlimits.py
+++ b/tests/test_grantlimits.py
@@ -16,7 +16,7 @@
 
 from daleroad.backpressure import Backpressure
 from daleroad.coldmodel import count_peak_requests
-from daleroad.dispatch import Attempt, NotRun, Source, Whole
+from daleroad.dispatch import Attempt, CopySource, NotRun, Whole
 from daleroad.errors import Failure, Ran
 from daleroad.forwarding import Outcome
 from daleroad.grantlimits import (
@@ -204,7 +204,7 @@
                 return answer
 
             gateway.selector.request_placement = answer_place
-            gateway.note_backpressure(make_instance(2), Backpressure(max_requests_per_second=2.0))
+            gateway.apply_backpressure(make_instance(2), Backpressure(max_requests_per_second=2.0))
             attempt = Attempt(make_job(0.0), make_instance(2), "", 1.0)
             await body(gateway, dispatcher, asked, attempt)
 
@@ -212,7 +212,7 @@
 
     def test_resumed_stream_is_sent_with_grant(self) -> None:
         async def body(gateway, dispatcher, asked, attempt) -> None:
-            source = Source("10.0.0.1:1", "h", "3")
+            source = CopySource("10.0.0.1:1", "h", "3")
             self.assertIsInstance(
                 await gateway.dispatcher.send(replace(attempt, source=source)), Whole
             )
@@ -247,10 +247,10 @@
             self.assertTrue(gateway.guard.needs_grant(make_instance(2)))
             self.assertEqual((gateway.count_limited(), gateway.count_resting()), (1, 0))
             await anyio.sleep(MIN_LIFT_DELAY_SECONDS)
-            gateway.note_backpressure(make_instance(2), Backpressure())
+            gateway.apply_backpressure(make_instance(2), Backpressure())
             self.assertIsInstance(await gateway.dispatcher.send(attempt), Whole)
             self.assertEqual(asked, [])
-            notices = gateway.list_upstream_news(0)
+            notices = gateway.list_upstream_notices(0)
             self.assertEqual([notice.limit and notice.limit.rate for notice in notices], [None])
 
         self.run_body(body, None)
--- a/tests/test_heldrequests.py
+++ b/tests/test_heldrequests.py
@@ -19,7 +19,7 @@
 from daleroad.codec import encode
 from daleroad.commandcalls import SECRET_VARIABLE
 from daleroad.defaults import FLEET_KEPT_SECONDS
-from daleroad.dispatch import Attempt, Job
+from daleroad.dispatch import Attempt, ClientRequest
 from daleroad.errors import Failure, FailureKind
 from daleroad.gateway import Gateway
 from daleroad.instances import Sighting
@@ -67,7 +67,7 @@
         options = GatewayOptions(address, "z", "r", self.site.seeds, 1.0, 0.2, 30, 10.0)
         gateway = Gateway(options, FakeDispatcher(), Random(number))
         watcher = Watcher(gateway, ChannelCalls("secret"), parse)
-        gateway.on_news = watcher.tell_now
+        gateway.on_update = watcher.tell_now
         scope = anyio.CancelScope()
 
         async def run() -> None:
@@ -94,7 +94,7 @@
     return gateway.guard.get_standing(make_job(0.0), "")
 
 
-def all_hold(gateways: list[Gateway], job: Job | None = None) -> bool:
+def all_hold(gateways: list[Gateway], job: ClientRequest | None = None) -> bool:
     asked = job or make_job(0.0)
     return all(g.guard.get_standing(asked, "") is Standing.HELD for g in gateways)
 
@@ -177,7 +177,7 @@
             for name in names[1:3]:
                 await sites.site.kill(name)
             gateways = sites.add(3)
-            await wait_for(lambda: all(g.heard_at > 0 for g in gateways))
+            await wait_for(lambda: all(g.last_heard_at > 0 for g in gateways))
             # Without a majority there is no leader; holding a request needs neither.
             for number in range(MIN_CRASHES_HELD):
                 sites.report_crash(gateways[number], number + 1)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,7 +5,7 @@
 import orjson
 
 from daleroad.explain import LogLine, parse_lines
-from daleroad.runs import StreamEnd
+from daleroad.streams import StreamEnd
 from tools.ledger import Cause, Loss, find_losses, render_losses, render_worth
 
 
@@ -66,7 +66,7 @@
 
     def test_answers_are_told_apart(self) -> None:
         plain = {"kind": "idempotent", "seconds": 0.1}
-        refused = {**plain, "reason": "no upstream is left", "ran": "no"}
+        refused = {**plain, "reason": "no upstream is available", "ran": "no"}
         found = self.find(
             say(1.0, "REQUEST_ANSWERED", "good", status=200, late=False, **plain),
             say(1.1, "REQUEST_ANSWERED", "slow", status=200, late=True, **plain),
@@ -87,11 +87,11 @@
         losses = [
             Loss("a", 1.0, "stream", Cause.GATEWAY),
             Loss("b", 1.5, "stream", Cause.GATEWAY),
-            Loss("c", 6.1, "once", Cause.REFUSED, "no upstream is left"),
+            Loss("c", 6.1, "once", Cause.REFUSED, "no upstream is available"),
         ]
         text = "\n".join(render_losses(losses))
         self.assertIn("stream           2  its gateway ended with the stream on it", text)
-        self.assertIn("once             1  refused: no upstream is left", text)
+        self.assertIn("once             1  refused: no upstream is available", text)
         self.assertIn("          0  2 gateway", text)
         self.assertIn("          6  1 refused", text)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -39,22 +39,22 @@
 from daleroad.defaults import FIRST_CONFIG_SECONDS  # noqa: E402
 from daleroad.dispatch import (  # noqa: E402
     Attempt,
+    ClientRequest,
     Copied,
     CopyFault,
     EngineReport,
-    Job,
     Lost,
     NotCopied,
     NotRun,
-    Piece,
     Reply,
+    StreamEvent,
     Whole,
 )
 from daleroad.errors import Failure, FailureKind, Ran  # noqa: E402
 from daleroad.evacuations import EvacuatedZones  # noqa: E402
 from daleroad.fingerprints import fingerprint_job  # noqa: E402
 from daleroad.instances import Instance, InstanceState  # noqa: E402
-from daleroad.routing import Repeat, RoutingConfig, find_fault  # noqa: E402
+from daleroad.routing import Repeat, RoutingConfig, validate_config  # noqa: E402
 
 CONFIG = {
     "version": 7,
@@ -147,7 +147,7 @@
         self.assertEqual(engine.event_tokens, 4)
         self.assertEqual(config.limits.body_bytes, 100)
         self.assertEqual(config.organisations[0].rank, 1)
-        self.assertIsNone(find_fault(config))
+        self.assertIsNone(validate_config(config))
 
     def test_malformed_config_is_rejected(self) -> None:
         whole = orjson.dumps(CONFIG)
@@ -269,7 +269,9 @@
 
 
 class JobTest(unittest.TestCase):
-    def make(self, *headers: tuple[bytes, bytes], path: bytes = b"/a/%41b") -> Job | Failure:
+    def make(
+        self, *headers: tuple[bytes, bytes], path: bytes = b"/a/%41b"
+    ) -> ClientRequest | Failure:
         scope = {
             "method": "POST",
             "raw_path": path,
@@ -290,7 +292,7 @@
             (b"x-daleroad-token-usage", b"1460,80"),
             (b"x-daleroad-prefix-hash", b"5c:800,91:660"),
         )
-        assert isinstance(job, Job)
+        assert isinstance(job, ClientRequest)
         self.assertEqual(job.target, b"/a/%41b?q=%20")
         self.assertEqual((job.key, job.deadline), ("k1", 101.5))
         names = [name for name, _ in job.headers]
@@ -298,7 +300,7 @@
         for dropped in (b"connection", b"x-mine", b"transfer-encoding", b"host"):
             self.assertNotIn(dropped, names)
         assert job.prompt is not None
-        self.assertEqual((job.prompt.tokens, job.prompt.most_output), (1460, 80))
+        self.assertEqual((job.prompt.tokens, job.prompt.max_output_tokens), (1460, 80))
 
     def test_fingerprint_does_not_depend_on_body_chunks(self) -> None:
         async def read(*parts: bytes) -> bytes | Failure | None:
@@ -313,7 +315,7 @@
             return await read_body(receive, 100)
 
         job = self.make((b"x-daleroad-attempt-id", b"abc"))
-        assert isinstance(job, Job)
+        assert isinstance(job, ClientRequest)
         found = set()
         for parts in ((b"a long body",), (b"a lo", b"", b"ng body"), (b"a long body", b"")):
             body = anyio.run(read, *parts)
@@ -457,7 +459,9 @@
                 address = f"127.0.0.1:{port}"
                 instance = Instance("i-1", "s", address, "z", 4, InstanceState.READY, 1)
                 headers = ((b"x-other", b"2"), (b"authorization", b"Bearer k"))
-                job = Job("abc", "POST", b"/a?q", "h", "/a", headers, b"body", "k", 0.0, 9.0)
+                job = ClientRequest(
+                    "abc", "POST", b"/a?q", "h", "/a", headers, b"body", "k", 0.0, 9.0
+                )
                 for number in range(count):
                     job = replace(job, id=ids[number] if ids else job.id)
                     attempt = Attempt(
@@ -466,7 +470,7 @@
                         "org",
                         1.5,
                         rank=1,
-                        own_connection=own,
+                        new_connection=own,
                         last_event=last_event,
                     )
                     reply = await client.send(attempt)
@@ -543,7 +547,7 @@
         self.assertEqual(reply, NotRun("status 503"))
         (reply,) = self.send_requests(Upstream(answer("421 Other", ID)))
         assert isinstance(reply, NotRun)
-        self.assertTrue(reply.gone)
+        self.assertTrue(reply.address_reused)
         (reply,) = self.send_requests(Upstream(answer("503 Full", ID)))
         self.assertIsInstance(reply, Whole)
 
@@ -561,14 +565,14 @@
         whole, cut = b"id: 1\ndata: a\n\nid: 2\n\n", b"id: 1\ndata: a\n\nid: 2\nda"
         for body, length, ids in ((whole, len(whole), ["1", "2"]), (cut, 900, ["1"])):
             data = head.replace(b"Content-Length: 2", f"Content-Length: {length}".encode())
-            pieces: list[Piece | Lost] = []
+            pieces: list[StreamEvent | Lost] = []
 
-            async def on_reply(reply: Reply, kept: list[Piece | Lost] = pieces) -> None:
+            async def on_reply(reply: Reply, kept: list[StreamEvent | Lost] = pieces) -> None:
                 assert isinstance(reply, EventStream)
-                kept += [piece async for piece in reply.pieces()]
+                kept += [piece async for piece in reply.events()]
 
             self.send_requests(Upstream(data[:-2] + body), on_reply=on_reply)
-            self.assertEqual([p.event for p in pieces if isinstance(p, Piece)], ids)
+            self.assertEqual([p.event for p in pieces if isinstance(p, StreamEvent)], ids)
             self.assertEqual(isinstance(pieces[-1], Lost), length == 900)
 
     def test_copy_results_are_distinguished(self) -> None:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,7 +12,7 @@
     RoutingTable,
     ServiceRule,
     Target,
-    find_fault,
+    validate_config,
 )
 
 
@@ -41,7 +41,7 @@
 
 class ValidationTest(unittest.TestCase):
     def test_valid_configuration_has_no_error(self) -> None:
-        self.assertIsNone(find_fault(make_config()))
+        self.assertIsNone(validate_config(make_config()))
 
     def test_each_error_is_found_and_names_its_route(self) -> None:
         route = make_route()
@@ -56,28 +56,28 @@
         }
         for reason, changed in invalid.items():
             with self.subTest(reason):
-                found = find_fault(make_config(changed))
+                found = validate_config(make_config(changed))
                 assert found is not None
                 self.assertIs(found.kind, FailureKind.INVALID)
                 self.assertIn(reason, found.reason)
                 self.assertIn("route r", found.reason)
 
     def test_routes_with_equal_host_and_prefix_are_rejected(self) -> None:
-        found = find_fault(make_config(make_route("a"), make_route("b")))
+        found = validate_config(make_config(make_route("a"), make_route("b")))
         assert found is not None
         self.assertIn("another route has the same host and prefix", found.reason)
 
     def test_key_of_two_organisations_is_rejected(self) -> None:
         config = make_config()
         other = OrganisationRule("p", ("k2",), None)
-        found = find_fault(replace(config, organisations=(*config.organisations, other)))
+        found = validate_config(replace(config, organisations=(*config.organisations, other)))
         assert found is not None
         self.assertIn("one of its keys", found.reason)
 
     def test_key_listed_twice_by_one_organisation_is_accepted(self) -> None:
         config = make_config()
         organisation = OrganisationRule("o", ("k1", "k1"), None)
-        self.assertIsNone(find_fault(replace(config, organisations=(organisation,))))
+        self.assertIsNone(validate_config(replace(config, organisations=(organisation,))))
 
 
 class MatchTest(unittest.TestCase):
@@ -104,10 +104,10 @@
         self.assertEqual(self.match("other.example", "/a/"), FailureKind.UNKNOWN_ROUTE)
 
     def test_keys_identify_their_organisation(self) -> None:
-        found = self.table.identify("k2")
+        found = self.table.find_organisation("k2")
         assert not isinstance(found, Failure)
         self.assertEqual(found.name, "o")
-        unknown = self.table.identify("k3")
+        unknown = self.table.find_organisation("k3")
         assert isinstance(unknown, Failure)
         self.assertIs(unknown.kind, FailureKind.UNAUTHENTICATED)
 
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -173,15 +173,15 @@
         retries = 0
         for number in range(1200):
             budget = budgets[number % processes]
-            budget.note_first("s", number / 120)
-            retries += sum(budget.take("s", processes, number / 120) for _ in range(3))
+            budget.record_first_attempt("s", number / 120)
+            retries += sum(budget.try_acquire("s", processes, number / 120) for _ in range(3))
         self.assertLessEqual(retries, 0.2 * 1200 + 64)
         self.assertGreater(retries, 0.5 * (0.2 * 1200 + 64))
 
     def test_window_slides_and_each_service_has_its_own(self) -> None:
         budget = WindowBudget(0.0, 2.9, 10.0)
-        self.assertTrue(budget.take("s", 1, 0.0))
-        self.assertTrue(budget.take("s", 1, 1.0))
-        self.assertFalse(budget.take("s", 1, 9.9))
-        self.assertTrue(budget.take("t", 1, 9.9))
-        self.assertTrue(budget.take("s", 1, 10.5))
+        self.assertTrue(budget.try_acquire("s", 1, 0.0))
+        self.assertTrue(budget.try_acquire("s", 1, 1.0))
+        self.assertFalse(budget.try_acquire("s", 1, 9.9))
+        self.assertTrue(budget.try_acquire("t", 1, 9.9))
+        self.assertTrue(budget.try_acquire("s", 1, 10.5))
--- a/tests/test_finishing.py
+++ b/tests/test_shutdowndeadline.py
@@ -11,11 +11,10 @@
 from hypothesis import strategies as st
 
 from daleroad.catalog import SetUpstream
-from daleroad.defaults import DRAIN_TOKEN_SECONDS, STOP_BEGIN_SECONDS
+from daleroad.defaults import DRAIN_SECONDS_PER_TOKEN, FIRST_TOKEN_ALLOWANCE_SECONDS
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind, Ran
-from daleroad.finishing import expect_tokens, find_latest_start
-from daleroad.generations import Generations
+from daleroad.generations import GenerationHandler
 from daleroad.lengths import OutputLengths
 from daleroad.links import Links
 from daleroad.loopback import make_site
@@ -26,6 +25,7 @@
 from daleroad.security import hash_token
 from daleroad.serving import Answer, Request
 from daleroad.settings import Tls
+from daleroad.shutdowndeadline import compute_latest_start, estimate_max_tokens
 
 MAX_TOKENS = 900
 
@@ -49,20 +49,22 @@
         )
         for name, lengths, expected in table:
             with self.subTest(name):
-                self.assertEqual(expect_tokens(lengths, "route", "model", MAX_TOKENS), expected)
+                self.assertEqual(
+                    estimate_max_tokens(lengths, "route", "model", MAX_TOKENS), expected
+                )
 
     def test_a_new_model_uses_its_routes_lengths_and_another_route_does_not(self) -> None:
         lengths = make_lengths(*[20] * 8)
-        self.assertEqual(expect_tokens(lengths, "route", "new", MAX_TOKENS), 20)
-        self.assertEqual(expect_tokens(lengths, "other", "model", MAX_TOKENS), MAX_TOKENS)
+        self.assertEqual(estimate_max_tokens(lengths, "route", "new", MAX_TOKENS), 20)
+        self.assertEqual(estimate_max_tokens(lengths, "other", "model", MAX_TOKENS), MAX_TOKENS)
 
 
 class LatestStartTest(unittest.TestCase):
     def test_table(self) -> None:
         table = (
             ("no shutdown in progress", float("inf"), 120.0, MAX_TOKENS, float("inf")),
-            ("long output", 100.0, 120.0, 1000, 100.0 - STOP_BEGIN_SECONDS - 18.0),
-            ("short output", 100.0, 120.0, 10, 100.0 - STOP_BEGIN_SECONDS - 0.18),
+            ("long output", 100.0, 120.0, 1000, 100.0 - FIRST_TOKEN_ALLOWANCE_SECONDS - 18.0),
+            ("short output", 100.0, 120.0, 10, 100.0 - FIRST_TOKEN_ALLOWANCE_SECONDS - 0.18),
             (
                 "deadline shorter than the usual time to first token",
                 100.0,
@@ -73,14 +75,16 @@
         )
         for name, ends_at, allowed, tokens, expected in table:
             with self.subTest(name):
-                self.assertAlmostEqual(find_latest_start(ends_at, allowed, tokens), expected)
+                self.assertAlmostEqual(compute_latest_start(ends_at, allowed, tokens), expected)
 
     @given(st.floats(0, 1000), st.floats(0, 200), st.integers(1, 10_000))
     def test_a_generation_that_starts_by_then_finishes_in_time(
         self, ends_at: float, allowed: float, tokens: int
     ) -> None:
-        begins_at = find_latest_start(ends_at, allowed, tokens) + min(allowed, STOP_BEGIN_SECONDS)
-        self.assertAlmostEqual(begins_at + tokens * DRAIN_TOKEN_SECONDS, ends_at)
+        begins_at = compute_latest_start(ends_at, allowed, tokens) + min(
+            allowed, FIRST_TOKEN_ALLOWANCE_SECONDS
+        )
+        self.assertAlmostEqual(begins_at + tokens * DRAIN_SECONDS_PER_TOKEN, ends_at)
 
 
 class FakeStewardship:
@@ -91,12 +95,14 @@
         self.requested: list[Work] = []
         self.returned: list[PermitEnd] = []
 
-    async def ask(self, upstream: Upstream, work: Work, wait: bool) -> PermitAnswer | Failure:
+    async def request_permit(
+        self, upstream: Upstream, work: Work, wait: bool
+    ) -> PermitAnswer | Failure:
         self.requested.append(work)
         await self._before_grant()
         return PermitAnswer(0.5)
 
-    async def end(self, end: PermitEnd) -> None:
+    async def return_permit(self, end: PermitEnd) -> None:
         self.returned.append(end)
 
 
@@ -114,7 +120,7 @@
         catalog.follow(3, SetUpstream(upstream))
         self.steward = FakeStewardship(before_grant)
         limits = OrganisationLimits(self.env)
-        self.generations = Generations(self.env, self.steward, limits, RequestHolds(self.env))
+        self.generations = GenerationHandler(self.env, self.steward, limits, RequestHolds(self.env))
 
     async def serve(self) -> Answer:
         body = orjson.dumps({"route": "r", "prompt": "p", "max_tokens": 100, "stream": True})
@@ -160,7 +166,7 @@
             async def stop() -> None:
                 await anyio.sleep(0.1)
                 self.env.ends_at = anyio.current_time() + 2.5
-                self.generations.note_end()
+                self.generations.apply_shutdown_deadline()
 
             self.make_generations(anyio.sleep_forever)
             async with anyio.create_task_group() as tasks:
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -85,7 +85,7 @@
         gateway.dispatcher.forget = forgotten.append  # type: ignore[method-assign]
         gateway.on_leaving = left.append
         gateway.fleet.note(Sighting(self.old, 0.0), 0.0)
-        gateway.note_changes(gateway.fleet.note_all([Sighting(self.new, 0.0)], 1.0))
+        gateway.apply_instance_changes(gateway.fleet.note_all([Sighting(self.new, 0.0)], 1.0))
         self.assertEqual([i.id for i in forgotten], [self.old.id])
         self.assertEqual(left, [])
 
@@ -95,7 +95,7 @@
             gateway = make_gateway(FakeDispatcher(), make_config(Repeat.STREAM, engine=True), now)
             unnamed = make_start(0)
             gateway.fleet.note_all([Sighting(unnamed, 0.0), Sighting(self.new, 0.0)], now)
-            gateway.note_replaced(unnamed)
+            gateway.mark_replaced(unnamed)
             self.assertIn(self.new, gateway.fleet.list_ready("s"))
 
         anyio.run(main)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -14,7 +14,6 @@
 import httpx
 
 from daleroad.codec import encode
-from daleroad.ending import Ending, make_leaving
 from daleroad.errors import Ran
 from daleroad.leader import LeaderClient
 from daleroad.loopback import OPERATOR_TOKENS, STOYANOV, Site, find_ports, get_token, make_site
@@ -22,6 +21,7 @@
 from daleroad.security import hash_token
 from daleroad.serving import Answer, Request, Response, Router, Stream, serve_app
 from daleroad.settings import Settings, Tls
+from daleroad.shutdown import ShutdownScopes, make_shutdown_failure
 from tests.harness import SiteTest, generate, get_json, wait_for
 
 KILL_SECONDS = 3.0
@@ -338,9 +338,9 @@
     """A router at shutdown, called directly as an ASGI application."""
 
     def setUp(self) -> None:
-        self.ending = Ending()
+        self.ending = ShutdownScopes()
         self.router = Router(1000)
-        self.router.ending = self.ending
+        self.router.shutdown_scopes = self.ending
         self.sent: list[dict] = []
 
     async def send(self, event: dict) -> None:
@@ -367,7 +367,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.router, scope, receive, self.send)
                 await anyio.sleep(end_after)
-                self.ending.end()
+                self.ending.cancel_all()
 
     def run_handler(self, handler: Callable, receive: Callable, end_after: float = 0.1) -> bytes:
         """Handle one request, shut down after a delay, and return the response body."""
@@ -411,7 +411,7 @@
         async def send(event: dict) -> None:
             self.sent.append(event)
             if event.get("body"):
-                self.ending.end()
+                self.ending.cancel_all()
             await anyio.sleep(0.05)
 
         self.send = send
@@ -420,7 +420,7 @@
     def test_a_stream_that_ends_as_it_is_cancelled(self) -> None:
         async def make_pieces() -> AsyncGenerator[bytes, None]:
             yield b"event: end\n\n"
-            self.ending.end()
+            self.ending.cancel_all()
 
         async def stream(request: Request) -> Answer:
             return Stream(make_pieces())
@@ -442,7 +442,7 @@
             ran.append(request)
             return Response(200)
 
-        self.ending.end()
+        self.ending.cancel_all()
         body = self.run_handler(answer, self.receive_whole_body)
         self.assertEqual(self.sent[0]["status"], 503)
         self.assertIn(b'"ran":"no"', body)
@@ -450,7 +450,7 @@
 
     def test_an_answer_returned_as_its_handler_is_cancelled(self) -> None:
         async def answer(request: Request) -> Answer:
-            self.ending.end()
+            self.ending.cancel_all()
             return Response(200, b"{}")
 
         self.assertEqual(self.run_handler(answer, self.receive_whole_body), b"{}")
@@ -464,7 +464,7 @@
 
     async def call(self, url: str, body: bytes, shape: type, limit: float) -> object:
         self.called_urls.append(url)
-        return "answer" if len(self.called_urls) > 1 else make_leaving(Ran.UNKNOWN)
+        return "answer" if len(self.called_urls) > 1 else make_shutdown_failure(Ran.UNKNOWN)
 
 
 class LeaderTest(unittest.TestCase):
--- a/tests/test_runs.py
+++ b/tests/test_streams.py
@@ -8,19 +8,19 @@
 import trio.testing
 
 from daleroad.copyschedule import (
-    COPY_EACH_SECONDS,
-    STOP_AFTER_SECONDS,
-    STOP_EACH_SECONDS,
+    COPY_OVERHEAD_SECONDS,
+    FINAL_COPY_SECONDS,
+    STOP_DELAY_SECONDS,
     RunSize,
 )
 from daleroad.dispatch import Attempt, Copied, CopyFault, EngineReport, Lost, NotCopied, NotRun
-from daleroad.draining import Need
+from daleroad.draining import DurationEstimate
 from daleroad.errors import Failure, Ran
 from daleroad.gateway import Gateway
 from daleroad.instances import InstanceState, Sighting
-from daleroad.moving import EngineMover
+from daleroad.migration import EngineMigrator
 from daleroad.routing import Repeat
-from daleroad.runs import Run, Runs, StreamEnd, Tries
+from daleroad.streams import RetryState, StreamEnd, StreamRegistry, StreamRun
 from tests.fakes import (
     PROMPT,
     FakeDispatcher,
@@ -38,17 +38,17 @@
         self.event_ids: list[str] = []
         self.failure: Failure | None = None
         self.notice = False
-        self.tries = Tries()
+        self.tries = RetryState()
         self.ends_at = float("inf")
 
-    def deliver(self, stream: FakeStream) -> Run:
-        async def main() -> Run:
+    def deliver(self, stream: FakeStream) -> StreamRun:
+        async def main() -> StreamRun:
             now = anyio.current_time()
             config = make_config(Repeat.STREAM, engine=True)
             gateway = make_gateway(self.dispatcher, config, now)
-            gateway.ends_at = now + self.ends_at
-            runs = Runs(gateway, EngineMover(gateway))
-            gateway.on_leaving = runs.leave_engine
+            gateway.exits_at = now + self.ends_at
+            runs = StreamRegistry(gateway, EngineMigrator(gateway))
+            gateway.on_leaving = runs.migrate_off
             async with anyio.create_task_group() as tasks:
                 gateway.start(tasks)
                 run = self.make_run(gateway, stream, now)
@@ -66,18 +66,18 @@
 
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def make_run(self, gateway: Gateway, stream: FakeStream, now: float) -> Run:
+    def make_run(self, gateway: Gateway, stream: FakeStream, now: float) -> StreamRun:
         job = make_job(now, 60.0, PROMPT)
         instance = make_instance(1)
         gateway.loads.add_load(instance, 1, 4000)
         attempt = Attempt(job, instance, "", 60.0)
-        return Run(attempt, stream, now + 60.0, 4000, tries=self.tries)
+        return StreamRun(attempt, stream, now + 60.0, 4000, tries=self.tries)
 
     def leave(self, gateway: Gateway, now: float) -> None:
         leaving = make_instance(1, InstanceState.LEAVING)
-        gateway.note_changes(gateway.fleet.note_all([Sighting(leaving, 0.0)], now))
+        gateway.apply_instance_changes(gateway.fleet.note_all([Sighting(leaving, 0.0)], now))
 
-    async def read(self, runs: Runs, run: Run) -> None:
+    async def read(self, runs: StreamRegistry, run: StreamRun) -> None:
         async for piece in runs.deliver(run):
             if isinstance(piece, Failure):
                 self.failure = piece
@@ -100,12 +100,12 @@
     def cancel_delivery(self, after: float, stopped: bool = False) -> StreamEnd:
         """Cancel the delivery of an endless stream after some seconds; return its outcome."""
 
-        async def read(runs: Runs, run: Run) -> None:
+        async def read(runs: StreamRegistry, run: StreamRun) -> None:
             with anyio.move_on_after(after):
                 async for _ in runs.deliver(run):
                     pass
             if stopped:
-                runs.note_stop()
+                runs.mark_stopping()
 
         with patch.object(self, "read", read):
             return self.deliver(FakeStream(1, 2, wait=anyio.sleep_forever)).outcome
@@ -148,12 +148,12 @@
         self.assertEqual(self.event_ids, ["1", "2", "3", "4", "5", "6"])
         # The other run's pre-copy takes 0.6 s; then it is stopped for its final copy.
         first, last = self.dispatcher.copied_at
-        others_seconds = 0.6 + COPY_EACH_SECONDS + STOP_AFTER_SECONDS + STOP_EACH_SECONDS
+        others_seconds = 0.6 + COPY_OVERHEAD_SECONDS + STOP_DELAY_SECONDS + FINAL_COPY_SECONDS
         self.assertGreater(first, others_seconds - 0.001)
         self.assertLess(last, 1.4)
 
     def test_stream_is_not_restarted_if_the_gateway_exits_before_its_end(self) -> None:
-        self.tries = Tries({"i1"}, 2, need=Need(3.0, 57.0))
+        self.tries = RetryState({"i1"}, 2, need=DurationEstimate(3.0, 57.0))
         self.dispatcher.replies = [FakeStream(3, 4)]
         self.ends_at = 50.0
         self.deliver(FakeStream(1, 2, cut=True))
@@ -180,7 +180,7 @@
         self.assertEqual(len(self.dispatcher.attempts), 1)
 
     def test_resumable_stream_is_restarted_elsewhere_after_its_last_event(self) -> None:
-        self.tries = Tries({"i1"}, most=2)
+        self.tries = RetryState({"i1"}, max_runs=2)
         self.dispatcher.replies = [FakeStream(3, 4)]
         first = FakeStream(1, 2, cut=True)
         self.deliver(first)
@@ -193,7 +193,7 @@
         self.assertNotEqual(attempt.instance.id, "i1")
 
     def test_stream_restarts_are_limited_by_the_route(self) -> None:
-        self.tries = Tries({"i1"}, most=2)
+        self.tries = RetryState({"i1"}, max_runs=2)
         self.dispatcher.replies = [NotRun("full"), Lost("reset")]
         self.deliver(FakeStream(1, 2, cut=True))
         self.assertEqual(self.event_ids, ["1", "2"])
@@ -202,7 +202,7 @@
         self.assertIsNotNone(self.failure)
 
     def test_repeated_event_is_dropped(self) -> None:
-        self.tries = Tries({"i1"}, most=2)
+        self.tries = RetryState({"i1"}, max_runs=2)
         self.dispatcher.replies = [FakeStream(1, 4)]
         self.deliver(FakeStream(1, 2, cut=True))
         self.assertEqual(self.event_ids, ["1", "2", "3", "4"])
@@ -242,4 +242,4 @@
         self.deliver(FakeStream(1, 2, cut=True, wait=die))
         first, second = self.dispatcher.copied_at[:2]
         self.assertEqual(first, 0.0)
-        self.assertGreater(second, 0.75 + STOP_AFTER_SECONDS + 2 * STOP_EACH_SECONDS - 0.001)
+        self.assertGreater(second, 0.75 + STOP_DELAY_SECONDS + 2 * FINAL_COPY_SECONDS - 0.001)
--- a/tests/test_delivery.py
+++ b/tests/test_tokensequence.py
@@ -5,36 +5,38 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from daleroad.delivery import Delivery, Frame, Verdict, parse_frames, split_events
 from daleroad.engine import make_end, make_frame
+from daleroad.tokensequence import Frame, FrameAction, TokenSequence, parse_frames, split_events
 
 
 class DeliveryTest(unittest.TestCase):
     def test_each_index_is_delivered_once(self) -> None:
-        delivery = Delivery("g")
-        verdicts = [delivery.judge(Frame("g", i, b"")) for i in (0, 0, 1, 0, 1, 2)]
-        delivered = [v for v in verdicts if v is Verdict.DELIVER]
+        delivery = TokenSequence("g")
+        verdicts = [delivery.accept(Frame("g", i, b"")) for i in (0, 0, 1, 0, 1, 2)]
+        delivered = [v for v in verdicts if v is FrameAction.DELIVER]
         self.assertEqual((len(delivered), delivery.next_index), (3, 3))
 
     def test_frames_of_other_generations_are_dropped(self) -> None:
-        delivery = Delivery("g", 4)
-        self.assertIs(delivery.judge(Frame("h", 4, b"")), Verdict.DROP)
+        delivery = TokenSequence("g", 4)
+        self.assertIs(delivery.accept(Frame("h", 4, b"")), FrameAction.DROP)
         self.assertEqual(delivery.next_index, 4)
 
     def test_skipped_index_is_a_gap(self) -> None:
-        delivery = Delivery("g")
-        self.assertIs(delivery.judge(Frame("g", 1, b"")), Verdict.GAP)
+        delivery = TokenSequence("g")
+        self.assertIs(delivery.accept(Frame("g", 1, b"")), FrameAction.GAP)
         self.assertEqual(delivery.next_index, 0)
 
     def test_end_frame_with_missing_tokens_is_a_gap(self) -> None:
-        delivery = Delivery("g", 2)
-        self.assertIs(delivery.judge(Frame("g", 3, b"", end=True)), Verdict.GAP)
-        self.assertIs(delivery.judge(Frame("g", 2, b"", end=True)), Verdict.END)
+        delivery = TokenSequence("g", 2)
+        self.assertIs(delivery.accept(Frame("g", 3, b"", end=True)), FrameAction.GAP)
+        self.assertIs(delivery.accept(Frame("g", 2, b"", end=True)), FrameAction.END)
 
     @given(st.lists(st.tuples(st.sampled_from("gh"), st.integers(0, 8)), max_size=60))
     def test_frames_in_any_order_are_delivered_without_gaps(self, frames: list) -> None:
-        delivery = Delivery("g")
-        delivered = [i for g, i in frames if delivery.judge(Frame(g, i, b"")) is Verdict.DELIVER]
+        delivery = TokenSequence("g")
+        delivered = [
+            i for g, i in frames if delivery.accept(Frame(g, i, b"")) is FrameAction.DELIVER
+        ]
         self.assertEqual(delivered, list(range(len(delivered))))
 
 
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -21,7 +21,7 @@
 
 from daleroad.admission import AdmissionController, Admitted, PeakMemoryPolicy
 from daleroad.catalog import Catalog
-from daleroad.claims import Acquire, Claim, ClaimJournal, ClaimState, Settle
+from daleroad.claimjournal import Acquire, Claim, ClaimJournal, ClaimState, Settle
 from daleroad.codec import decode, encode
 from daleroad.compression import pack
 from daleroad.control import found
@@ -443,7 +443,7 @@
     """CPU and memory of the claim journal over the claims remembered."""
     rows = []
     for size in (1_000, 5_000, 20_000, 50_000):
-        journal = ClaimJournal(most=10**9)
+        journal = ClaimJournal(max_claims=10**9)
         before = get_memory(os.getpid())
         began = time.process_time()
         for i in range(size):
