--- a/src/daleroad/keptfile.py
+++ b/src/daleroad/atomicfile.py
@@ -6,17 +6,17 @@
 
 import anyio
 
-from daleroad.defaults import FLEET_KEPT_SECONDS
+from daleroad.defaults import PERSIST_INTERVAL_SECONDS
 from daleroad.errors import Failure, FailureKind
 from daleroad.events import Event, log_event
 
 
-async def keep_file(
+async def persist_on_change(
     path: Path,
     get_revision: Callable[[], int],
     dump: Callable[[], bytes],
     failure_event: Event,
-    kept: int,
+    saved_revision: int,
 ) -> None:
     """Write data to a file whenever its revision changes, until cancelled.
 
@@ -24,16 +24,16 @@
     :param get_revision: returns the revision, a number that grows with each change.
     :param dump: returns the content to write.
     :param failure_event: event to log when a write fails.
-    :param kept: the revision that the file already holds.
+    :param saved_revision: the revision that the file already holds.
     """
     while True:
         revision = get_revision()
-        if revision != kept:
-            kept = revision
+        if revision != saved_revision:
+            saved_revision = revision
             failure = await anyio.to_thread.run_sync(replace_file, path, dump())
             if failure is not None:
                 log_event(failure_event, reason=failure.reason)
-        await anyio.sleep(FLEET_KEPT_SECONDS)
+        await anyio.sleep(PERSIST_INTERVAL_SECONDS)
 
 
 def replace_file(path: Path, body: bytes) -> Failure | None:
--- a/src/daleroad/calls.py
+++ b/src/daleroad/calls.py
@@ -18,27 +18,27 @@
     token: str
 
     async def call(
-        self, url: str, body: bytes, shape: Any, read_seconds: float | None = None
+        self, url: str, body: bytes, answer_type: Any, read_seconds: float | None = None
     ) -> Any:
         """Send a message to one of our processes and return the typed answer or a failure.
 
         :param url: the whole URL.
         :param body: the message as JSON.
-        :param shape: the type of the answer.
+        :param answer_type: the type of the answer.
         :param read_seconds: longest wait for the answer, if not the default.
         """
 
 
-def read_answer(status: int, body: bytes, shape: Any) -> Any:
+def read_answer(status: int, body: bytes, answer_type: Any) -> Any:
     """Return the typed answer to a call, nothing where its body is empty, or a failure.
 
     :param status: the answer's HTTP status.
     :param body: its body.
-    :param shape: the type of the answer.
+    :param answer_type: the type of the answer.
     """
     if status >= _FIRST_ERROR_STATUS:
         return parse_problem(body)
-    return decode(shape, body) if body else None
+    return decode(answer_type, body) if body else None
 
 
 def parse_problem(body: bytes) -> Failure:
--- a/src/daleroad/catalog.py
+++ b/src/daleroad/catalog.py
@@ -1,14 +1,14 @@
 """State machine of the catalog: records, membership, results of operations and the audit trail.
 
 :meth:`Catalog.apply` is deterministic: the same commands in the same order produce the same state
-on each replica. Entries follow it through the accepted changes, see :meth:`Catalog.follow`.
+on each replica. Entries follow it through the accepted changes, see :meth:`Catalog.apply_accepted`.
 """
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from daleroad.codec import decode, encode, register_union
-from daleroad.defaults import AUDIT_KEPT, OPERATIONS_KEPT
+from daleroad.defaults import MAX_AUDIT_ROWS, MAX_KEPT_OPERATIONS
 from daleroad.errors import Failure, FailureKind
 from daleroad.records import EntryMember, Organisation, Record, Upstream
 from daleroad.rules import find_fault
@@ -153,19 +153,19 @@
     """The catalog and the rules by which commands change it.
 
     :ivar revision: log index of the last command.
-    :ivar changed: log index of the last command that changed the state.
+    :ivar changed_revision: log index of the last command that changed the state.
     :ivar epoch: log index of the last change of the entries in the membership.
-    :ivar placed: log index of the last change of the upstreams.
-    :ivar by_token: organisations by token hash.
+    :ivar upstreams_revision: log index of the last change of the upstreams.
+    :ivar organisations_by_token_hash: organisations by token hash.
     :ivar records: records by the name of their class, then by their own name.
     :ivar answered: completed operations by idempotency key, oldest first.
     """
 
     revision: int = 0
-    changed: int = 0
+    changed_revision: int = 0
     epoch: int = 0
-    placed: int = 0
-    by_token: dict[str, Organisation] = field(default_factory=dict)
+    upstreams_revision: int = 0
+    organisations_by_token_hash: dict[str, Organisation] = field(default_factory=dict)
     records: dict[str, dict[str, Versioned]] = field(default_factory=dict)
     entries: dict[str, EntryMember] = field(default_factory=dict)
     upstreams: dict[str, Upstream] = field(default_factory=dict)
@@ -211,7 +211,7 @@
         self._record_operation(index, command, text, outcome)
         return outcome
 
-    def follow(self, index: int, change: Change) -> None:
+    def apply_accepted(self, index: int, change: Change) -> None:
         """Apply a change that the leader accepted, without validating it.
 
         :param index: log index of the command; ignored if not above the current revision.
@@ -228,10 +228,11 @@
             case _:
                 self._apply_membership_change(index, change)
 
-    def dump(self, whole: bool = True) -> str:
+    def dump(self, include_history: bool = True) -> str:
         """Return the serialised state.
 
-        :param whole: include completed operations and the audit trail, which entries do not need.
+        :param include_history: include completed operations and the audit trail, which entries do
+            not need.
         """
         records = tuple(v for kind in self.records.values() for v in kind.values())
         state = CatalogState(
@@ -240,8 +241,8 @@
             records,
             tuple(self.entries.values()),
             tuple(self.upstreams.values()),
-            tuple(self.answered.values()) if whole else (),
-            tuple(self.audit) if whole else (),
+            tuple(self.answered.values()) if include_history else (),
+            tuple(self.audit) if include_history else (),
         )
         return encode(state).decode()
 
@@ -252,23 +253,23 @@
         """
         state: CatalogState = decode(CatalogState, text)
         self.revision = state.revision
-        self.changed = state.revision
+        self.changed_revision = state.revision
         self.epoch = state.epoch
-        self.placed = state.revision
+        self.upstreams_revision = state.revision
         self.records = {}
-        self.by_token = {}
+        self.organisations_by_token_hash = {}
         for versioned in state.records:
             record = versioned.record
             self.records.setdefault(type(record).__name__, {})[record.name] = versioned
             if isinstance(record, Organisation):
-                self.by_token[record.token_hash] = record
+                self.organisations_by_token_hash[record.token_hash] = record
         self.entries = {entry.name: entry for entry in state.entries}
         self.upstreams = {upstream.name: upstream for upstream in state.upstreams}
         self.answered = {answered.operation: answered for answered in state.answered}
         self.audit = list(state.audit)
 
     def _apply_membership_change(self, index: int, change: Change) -> Outcome:
-        self.changed = index
+        self.changed_revision = index
         match change:
             case SetEntry(entry):
                 self.epoch = index
@@ -277,10 +278,10 @@
                 self.epoch = index
                 self.entries.pop(name, None)
             case SetUpstream(upstream):
-                self.placed = index
+                self.upstreams_revision = index
                 self.upstreams[upstream.name] = upstream
             case DropUpstream(name):
-                self.placed = index
+                self.upstreams_revision = index
                 self.upstreams.pop(name, None)
         return Outcome(index)
 
@@ -317,13 +318,13 @@
         :param name: the record's name.
         :param record: the record, or ``None`` to remove it.
         """
-        self.changed = index
+        self.changed_revision = index
         records = self.records.setdefault(type_name, {})
         known = records.get(name)
         if known is not None and isinstance(known.record, Organisation):
-            self.by_token.pop(known.record.token_hash, None)
+            self.organisations_by_token_hash.pop(known.record.token_hash, None)
         if isinstance(record, Organisation):
-            self.by_token[record.token_hash] = record
+            self.organisations_by_token_hash[record.token_hash] = record
         if record is None:
             records.pop(name, None)
         else:
@@ -337,7 +338,7 @@
 
     def _record_operation(self, index: int, command: Command, text: str, outcome: Outcome) -> None:
         self.answered[command.operation] = CompletedOperation(command.operation, text, outcome)
-        if len(self.answered) > OPERATIONS_KEPT:
+        if len(self.answered) > MAX_KEPT_OPERATIONS:
             del self.answered[next(iter(self.answered))]
         result = "accepted" if outcome.failure is None else outcome.failure.kind.value
         row = AuditRow(
@@ -350,7 +351,7 @@
             result,
         )
         self.audit.append(row)
-        if len(self.audit) > AUDIT_KEPT:
+        if len(self.audit) > MAX_AUDIT_ROWS:
             del self.audit[0]
 
 
--- a/src/daleroad/follower.py
+++ b/src/daleroad/catalogfollower.py
@@ -10,7 +10,7 @@
 from daleroad.defaults import GATHER_SECONDS
 from daleroad.errors import Failure
 from daleroad.events import Event, log_event
-from daleroad.leader import LeaderClient
+from daleroad.leaderclient import LeaderClient
 from daleroad.messages import FollowAnswer, FollowRequest, MembershipAnswer, MembershipRequest
 from daleroad.records import EntryMember, State
 from daleroad.settings import Settings
@@ -19,7 +19,7 @@
 _LEAVE_TIMEOUT_SECONDS = 3.0
 
 
-class Follower:
+class CatalogFollower:
     """Replicates the control group's catalog to an entry and renews the entry's lease.
 
     :param settings: the entry's settings.
@@ -78,7 +78,7 @@
         if answer.state:
             self.catalog.load(answer.state)
         for effective in answer.changes:
-            self.catalog.follow(effective.index, effective.change)
+            self.catalog.apply_accepted(effective.index, effective.change)
         self.catalog.revision = answer.revision
         if self.catalog.revision != before:
             self.on_change()
--- a/src/daleroad/catalogstate.py
+++ b/src/daleroad/catalogmachine.py
@@ -10,7 +10,7 @@
 from daleroad.catalog import Catalog, Command
 from daleroad.codec import decode
 from daleroad.events import Event, log_event
-from daleroad.messages import Effective
+from daleroad.messages import AcceptedChange
 
 _MAX_TAIL_CHANGES = 4096
 """Recent changes kept for entries; an entry that is further behind is sent the whole catalog."""
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self.catalog = Catalog()
-        self._tail: deque[Effective] = deque(maxlen=_MAX_TAIL_CHANGES)
+        self._tail: deque[AcceptedChange] = deque(maxlen=_MAX_TAIL_CHANGES)
         self._tail_start = 0
 
     def apply_payload(self, index: int, payload: str) -> Any:
@@ -35,10 +35,10 @@
         """
         command: Command = decode(Command, payload)
         outcome = self.catalog.apply(index, command)
-        if self.catalog.changed == index:
+        if self.catalog.changed_revision == index:
             if len(self._tail) == _MAX_TAIL_CHANGES:
                 self._tail_start = self._tail[0].index
-            self._tail.append(Effective(index, command.change))
+            self._tail.append(AcceptedChange(index, command.change))
         result = outcome.failure.kind.value if outcome.failure else "accepted"
         if command.operation:
             log_event(Event.CHANGE_APPLIED, index=index, by=command.operator, outcome=result)
@@ -57,7 +57,7 @@
         self._tail.clear()
         self._tail_start = self.catalog.revision
 
-    def list_changes(self, after: int) -> tuple[Effective, ...] | None:
+    def list_changes(self, after: int) -> tuple[AcceptedChange, ...] | None:
         """Return the changes after a revision, or ``None`` if some are no longer kept.
 
         :param after: the revision.
@@ -66,7 +66,7 @@
             return None
         return tuple(reversed(list(self._iterate_backwards(after))))
 
-    def _iterate_backwards(self, after: int) -> Iterator[Effective]:
+    def _iterate_backwards(self, after: int) -> Iterator[AcceptedChange]:
         for change in reversed(self._tail):
             if change.index <= after:
                 return
--- a/src/daleroad/channels.py
+++ b/src/daleroad/channels.py
@@ -194,13 +194,13 @@
         self._channels: dict[str, Channel] = {}
 
     async def call(
-        self, url: str, body: bytes, shape: Any, read_seconds: float | None = None
+        self, url: str, body: bytes, answer_type: Any, read_seconds: float | None = None
     ) -> Any:
         """Send a message to one of our processes and return the typed answer or a failure.
 
         :param url: the whole URL.
         :param body: the message as JSON.
-        :param shape: the type of the answer.
+        :param answer_type: the type of the answer.
         :param read_seconds: longest wait for the answer, if not the default.
         """
         target = urlsplit(url)
@@ -208,7 +208,7 @@
         known = await self._find(target.netloc)
         if known is not None:
             try:
-                return await self._ask(known, target.path, body, shape, seconds)
+                return await self._ask(known, target.path, body, answer_type, seconds)
             except ChannelLostError:
                 # Its process may have started anew since the last call; a new channel tells.
                 pass
@@ -216,16 +216,16 @@
         if isinstance(opened, Failure):
             return opened
         try:
-            return await self._ask(opened, target.path, body, shape, seconds)
+            return await self._ask(opened, target.path, body, answer_type, seconds)
         except ChannelLostError as error:
             return error.failure
 
     async def _ask(
-        self, channel: Channel, path: str, body: bytes, shape: Any, seconds: float
+        self, channel: Channel, path: str, body: bytes, answer_type: Any, seconds: float
     ) -> Any:
         with anyio.move_on_after(seconds):
             answer = await channel.ask(path, body)
-            return read_answer(int(answer.label), answer.body, shape)
+            return read_answer(int(answer.label), answer.body, answer_type)
         await channel.retire()
         return Failure(FailureKind.UNREACHABLE, f"{path}: no answer in {seconds:g} s")
 
--- a/src/daleroad/claimclient.py
+++ b/src/daleroad/claimclient.py
@@ -17,7 +17,7 @@
 from daleroad.codec import encode
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind, Ran
-from daleroad.leader import LeaderClient
+from daleroad.leaderclient import LeaderClient
 from daleroad.messages import ClaimRequest
 
 _READ_TIMEOUT_SECONDS = 1.5
--- a/src/daleroad/cli.py
+++ b/src/daleroad/cli.py
@@ -21,7 +21,7 @@
 from daleroad.clock import run_on_clock
 from daleroad.coldmodel import CASES as COLD_CASES
 from daleroad.coldmodel import format_cases as format_cold_cases
-from daleroad.control import found
+from daleroad.control import initialise_data_folder
 from daleroad.demo import run_demo
 from daleroad.detection import compare_detectors
 from daleroad.engine import Engine, EngineOptions
@@ -227,7 +227,7 @@
         Args:
             settings: path of a control process's INI file.
         """
-        found(load_settings(settings))
+        initialise_data_folder(load_settings(settings))
         print("founded")
 
     def repair(self, settings: str) -> None:
--- a/src/daleroad/consensus.py
+++ b/src/daleroad/consensus.py
@@ -24,11 +24,11 @@
 from random import Random
 
 from daleroad.defaults import (
-    APPEND_MOST,
-    APPEND_SECONDS,
-    ELECTION_MAX_SECONDS,
-    ELECTION_MIN_SECONDS,
+    HEARTBEAT_SECONDS,
     LEADER_LEASE_SECONDS,
+    MAX_APPEND_ENTRIES,
+    MAX_ELECTION_TIMEOUT_SECONDS,
+    MIN_ELECTION_TIMEOUT_SECONDS,
 )
 from daleroad.errors import Failure, FailureKind
 from daleroad.logtypes import (
@@ -55,7 +55,7 @@
     VoteRequest,
 )
 from daleroad.quorum import find_majority_value, is_majority, list_memberships
-from daleroad.standings import Standings
+from daleroad.rollback import RollbackDetector
 
 
 class Role(StrEnum):
@@ -97,7 +97,7 @@
     """State of one replica, volatile and durable, and its transitions.
 
     :param name: this member's name.
-    :param peers: names of the learners, which get the log without a vote. Names of voters may be
+    :param learners: names of the learners, which get the log without a vote. Names of voters may be
         among them, and make no difference.
     :param durable: the state loaded from disk.
     :param now: the time in seconds on a monotonic clock.
@@ -108,14 +108,14 @@
     """
 
     name: str
-    peers: tuple[str, ...]
+    learners: tuple[str, ...]
     durable: Durable
     now: float
     random: Random
     lease_seconds: float = LEADER_LEASE_SECONDS
     role: Role = Role.FOLLOWER
     leader: str = ""
-    commit: int = 0
+    commit_index: int = 0
     _effects: list[Effect] = field(default_factory=list)
     _votes: set[Member] = field(default_factory=set)
     _pre_vote: bool = False
@@ -123,19 +123,19 @@
 
     def __post_init__(self) -> None:
         self.term = self.durable.term
-        self.vote = self.durable.vote
+        self.voted_for = self.durable.vote
         self.incarnation = self.durable.incarnation
         self.snapshot = self.durable.snapshot
         self.log = list(self.durable.log)
-        self.commit = self.snapshot.index
+        self.commit_index = self.snapshot.index
         committed = min(self.durable.settled, self.last_index)
-        if committed > self.commit:
+        if committed > self.commit_index:
             self._commit_to(committed)
         # The last contact with a leader is not persisted. A restarted member assumes that it is
         # recent, and so grants no vote while a leader may still hold its lease.
         self._last_leader_contact = self.now
         self._reset_election_timeout()
-        self._standings = Standings(self.durable, self.last_index, self.random)
+        self._standings = RollbackDetector(self.durable, self.last_index, self.random)
         self._save_standing()
 
     @property
@@ -163,7 +163,7 @@
 
         :param names: names of the learners, such as new members that are catching up.
         """
-        self.peers = tuple(sorted(set(names)))
+        self.learners = tuple(sorted(set(names)))
         if self.role is not Role.LEADER:
             return
         wanted = set(self._list_other_members())
@@ -180,10 +180,10 @@
         return [
             Member(name, progress.incarnation)
             for name, progress in self._progress.items()
-            if progress.incarnation and progress.match_index >= self.commit
+            if progress.incarnation and progress.match_index >= self.commit_index
         ]
 
-    def list_heard(self, since: float) -> set[str]:
+    def list_responsive(self, since: float) -> set[str]:
         """Return the names of the other members that answered a request sent since a given time.
 
         :param since: the earliest time at which the request was sent.
@@ -193,9 +193,9 @@
     def _list_other_members(self) -> list[str]:
         """Return the names of all other members, voters and learners."""
         voters = {member.name for members in self._list_memberships() for member in members}
-        return sorted((voters | set(self.peers)) - {self.name})
+        return sorted((voters | set(self.learners)) - {self.name})
 
-    def get_settled_members(self) -> tuple[Member, ...]:
+    def get_stable_members(self) -> tuple[Member, ...]:
         """Return the membership, or an empty tuple while a change of it is uncommitted."""
         memberships = self._list_memberships()
         return memberships[0] if len(memberships) == 1 else ()
@@ -235,8 +235,8 @@
     def propose(self, payloads: Iterable[str], now: float) -> list[int] | Failure:
         """Append changes to the log as leader and return their indexes.
 
-        The effects are returned by the next :meth:`take`, or by any other method that returns
-        effects.
+        The effects are returned by the next :meth:`take_effects`, or by any other method that
+        returns effects.
 
         :param payloads: one text per change.
         :param now: the current time.
@@ -260,7 +260,7 @@
         self.now = max(self.now, now)
         if not self.has_lease(now):
             return Failure(FailureKind.NOT_LEADER, self.leader)
-        if len(self._list_memberships()) > 1 or self.get_term_at(self.commit) != self.term:
+        if len(self._list_memberships()) > 1 or self.get_term_at(self.commit_index) != self.term:
             return Failure(
                 FailureKind.CONFLICT,
                 "a membership change or the first entry of this term is not committed yet",
@@ -301,7 +301,7 @@
         :param state: the serialised state.
         """
         term = self.get_term_at(index)
-        if term is None or index <= self.snapshot.index or index > self.commit:
+        if term is None or index <= self.snapshot.index or index > self.commit_index:
             return []
         members = self._get_membership_at(index)
         kept = self.log[index - self.snapshot.index :]
@@ -310,7 +310,7 @@
         self._effects.append(SaveSnapshot(self.snapshot, install=False))
         return self._drain_effects()
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """Return the pending effects, such as those of proposals, and clear them."""
         return self._drain_effects()
 
@@ -318,7 +318,7 @@
 
     def _list_memberships(self) -> list[tuple[Member, ...]]:
         """Return the last committed membership and all later, uncommitted ones."""
-        return list_memberships(self.snapshot.members, self.log, self.commit)
+        return list_memberships(self.snapshot.members, self.log, self.commit_index)
 
     def _get_membership_at(self, index: int) -> tuple[Member, ...]:
         earlier = (entry for entry in self.log if entry.index <= index)
@@ -386,7 +386,7 @@
 
     def _reset_election_timeout(self) -> None:
         self._election_deadline = self.now + self.random.uniform(
-            ELECTION_MIN_SECONDS, ELECTION_MAX_SECONDS
+            MIN_ELECTION_TIMEOUT_SECONDS, MAX_ELECTION_TIMEOUT_SECONDS
         )
 
     def _start_election(self, pre_vote: bool) -> None:
@@ -414,7 +414,7 @@
             self._become_leader()
 
     def _handle_vote_request(self, request: VoteRequest) -> None:
-        heard_leader = self.now < self._last_leader_contact + ELECTION_MIN_SECONDS
+        heard_leader = self.now < self._last_leader_contact + MIN_ELECTION_TIMEOUT_SECONDS
         leading = self.role is Role.LEADER and self.has_lease(self.now)
         up_to_date = (request.last_term, request.last_index) >= (self.last_term, self.last_index)
         eligible = self._is_voter() and up_to_date and not heard_leader and not leading
@@ -429,7 +429,7 @@
             return
         if request.term > self.term:
             self._become_follower(request.term, "")
-        granted = eligible and request.term == self.term and self.vote in ("", request.sender)
+        granted = eligible and request.term == self.term and self.voted_for in ("", request.sender)
         if granted:
             self._set_term(self.term, request.sender)
             self._reset_election_timeout()
@@ -463,9 +463,9 @@
         self._count_votes()
 
     def _set_term(self, term: int, vote: str) -> None:
-        if (term, vote) != (self.term, self.vote):
+        if (term, vote) != (self.term, self.voted_for):
             self.term = term
-            self.vote = vote
+            self.voted_for = vote
             self._effects.append(SaveVote(term, vote))
 
     def _become_follower(self, term: int, leader: str) -> None:
@@ -492,7 +492,7 @@
 
     def _tick_leader(self) -> None:
         last_contact = max(self._find_majority_contact_time(), self._leader_since)
-        if self.now > last_contact + ELECTION_MIN_SECONDS:
+        if self.now > last_contact + MIN_ELECTION_TIMEOUT_SECONDS:
             self._become_follower(self.term, "")
             return
         self._send_appends(force=False)
@@ -517,7 +517,7 @@
 
     def _send_appends(self, force: bool) -> None:
         for peer, progress in self._progress.items():
-            due = self.now >= progress.sent_at + APPEND_SECONDS
+            due = self.now >= progress.sent_at + HEARTBEAT_SECONDS
             if force or due or progress.next_index <= self.last_index:
                 self._send_append(peer, progress)
 
@@ -532,14 +532,14 @@
             progress.next_index = self.snapshot.index + 1
             return
         start = prev - self.snapshot.index
-        entries = tuple(self.log[start : start + APPEND_MOST])
+        entries = tuple(self.log[start : start + MAX_APPEND_ENTRIES])
         request = AppendRequest(
             self.term,
             self.name,
             prev,
             prev_term,
             entries,
-            self.commit,
+            self.commit_index,
             self.now,
             self._list_unacked_standings(progress),
         )
@@ -590,7 +590,7 @@
         """Propose a voter's new incarnation once the voter holds all committed entries."""
         member = Member(name, progress.incarnation)
         names = [m.name for m in self.members]
-        if member in self.members or name not in names or progress.match_index < self.commit:
+        if member in self.members or name not in names or progress.match_index < self.commit_index:
             return
         changed = tuple(member if m.name == name else m for m in self.members)
         self.propose_members(changed, self.now)
@@ -603,12 +603,12 @@
         }
         matches[Member(self.name, self.incarnation)] = float(self.last_index)
         reached = find_majority_value(self._list_memberships(), matches)
-        if reached > self.commit and self.get_term_at(int(reached)) == self.term:
+        if reached > self.commit_index and self.get_term_at(int(reached)) == self.term:
             self._commit_to(int(reached))
 
     def _commit_to(self, index: int) -> None:
-        first = self.commit - self.snapshot.index
-        self.commit = index
+        first = self.commit_index - self.snapshot.index
+        self.commit_index = index
         entries = tuple(self.log[first : index - self.snapshot.index])
         self._effects.append(Commit(entries))
         if not any(entry.kind is EntryKind.MEMBERS for entry in entries):
@@ -637,7 +637,7 @@
             return
         appended = self._append_from_leader(request.entries)
         last = request.prev_index + len(request.entries)
-        if min(request.commit, last) > self.commit:
+        if min(request.commit, last) > self.commit_index:
             self._commit_to(min(request.commit, last))
         if appended:
             self._save_commit()
@@ -669,8 +669,8 @@
         A restarted member can then apply the committed entries at once, instead of waiting for a
         leader to be elected, for example after all members were down.
         """
-        if self.commit > self.snapshot.index:
-            self._effects.append(SaveSettled(self.commit))
+        if self.commit_index > self.snapshot.index:
+            self._effects.append(SaveSettled(self.commit_index))
 
     def _reply_append(
         self, request: AppendRequest | SnapshotRequest, ok: bool, last_index: int
@@ -683,12 +683,12 @@
             self._reply_append(request, False, self.last_index)
             return
         self._accept_leader(request.term, request.sender)
-        if request.snapshot.index > self.commit:
+        if request.snapshot.index > self.commit_index:
             self.snapshot = request.snapshot
             self.log = []
-            self.commit = request.snapshot.index
+            self.commit_index = request.snapshot.index
             self._effects.append(SaveSnapshot(replace(request.snapshot), install=True))
-        self._reply_append(request, True, max(self.commit, request.snapshot.index))
+        self._reply_append(request, True, max(self.commit_index, request.snapshot.index))
 
     def _drain_effects(self) -> list[Effect]:
         effects = self._effects
--- a/src/daleroad/control.py
+++ b/src/daleroad/control.py
@@ -20,14 +20,13 @@
     SetEntry,
     SetUpstream,
 )
-from daleroad.catalogstate import CatalogMachine
+from daleroad.catalogmachine import CatalogMachine
 from daleroad.claimjournal import ClaimCommand, ClaimJournal, ClaimOutcome, Look
 from daleroad.codec import decode, encode
 from daleroad.daleroad_connect import LocatorASGIApplication, OperatorsASGIApplication
 from daleroad.defaults import GATHER_SECONDS, STOP_KEPT_SECONDS
 from daleroad.errors import Failure, FailureKind
 from daleroad.events import Event, log_event
-from daleroad.group import Group, decode_messages
 from daleroad.links import Links
 from daleroad.logtypes import Member
 from daleroad.messages import (
@@ -38,7 +37,8 @@
     MembershipRequest,
 )
 from daleroad.operators import OperatorService
-from daleroad.ordering import OrderSender
+from daleroad.orderdelivery import OrderSender
+from daleroad.raftnode import RaftNode, decode_messages
 from daleroad.records import Operator
 from daleroad.roster import Roster
 from daleroad.security import check_peer
@@ -64,7 +64,7 @@
     return f"claims-{shard}"
 
 
-def found(settings: Settings) -> None:
+def initialise_data_folder(settings: Settings) -> None:
     """Initialise the empty data folder of a control process of a new site.
 
     Each folder is initialised once. A folder that was lost later is not initialised again; the
@@ -80,7 +80,7 @@
     own = f"founding-{settings.name}"
     for name in list_groups(settings):
         storage = Storage(Path(settings.data) / f"{name}.db")
-        storage.found(own, members, catalog.dump() if name == _CATALOG_GROUP else "")
+        storage.bootstrap(own, members, catalog.dump() if name == _CATALOG_GROUP else "")
         storage.close()
 
 
@@ -113,13 +113,13 @@
         self._stop = anyio.Event()
         self._make_metrics()
 
-    def _make_group(self, name: str, random: Random) -> Group:
+    def _make_group(self, name: str, random: Random) -> RaftNode:
         settings = self.settings
         urls = {peer: settings.get_control_url(peer) for peer in settings.control}
         storage = Storage(Path(settings.data) / f"{name}.db")
         machine = self.machine if name == _CATALOG_GROUP else ClaimJournal()
         group_random = Random(random.random())
-        return Group(name, settings.name, urls, storage, machine, self.links, group_random)
+        return RaftNode(name, settings.name, urls, storage, machine, self.links, group_random)
 
     def _make_metrics(self) -> None:
         self.registry = CollectorRegistry()
@@ -184,8 +184,8 @@
             return rejection
         if isinstance(parsed, Failure):
             return parsed
-        if self.roster is None or not self.group.has_served_term():
-            return self.group.refuse()
+        if self.roster is None or not self.group.can_serve_reads():
+            return self.group.make_redirect()
         received_at = anyio.current_time()
         failure = await self._add_entry(parsed)
         if isinstance(failure, Failure):
@@ -204,10 +204,10 @@
         return outcome if isinstance(outcome, Failure) else None
 
     async def _wait_for_change(self, revision: int) -> None:
-        if self.machine.catalog.changed > revision:
+        if self.machine.catalog.changed_revision > revision:
             return
         with anyio.move_on_after(self.settings.follow):
-            while self.machine.catalog.changed <= revision and not self._stop.is_set():
+            while self.machine.catalog.changed_revision <= revision and not self._stop.is_set():
                 await self._change_event.wait()
         # Each change wakes all entries. Gathering changes for a time in proportion to the entries
         # bounds the leader's answers per second, however many entries join at once.
@@ -216,7 +216,7 @@
     def _answer_follow(self, request: FollowRequest, received_at: float) -> Answer:
         # Only a leader in recent contact with a majority may renew the lease of an entry.
         if self.roster is None or not self.group.is_leading():
-            return self.group.refuse()
+            return self.group.make_redirect()
         self._follows.inc()
         catalog = self.machine.catalog
         now = anyio.current_time()
@@ -224,7 +224,7 @@
         changes = self.machine.list_changes(request.revision)
         lease = self.settings.entry_lease
         if changes is None or request.revision > catalog.revision:
-            state = catalog.dump(whole=False)
+            state = catalog.dump(include_history=False)
             answer = FollowAnswer(catalog.revision, lease, now - received_at, (), state)
         else:
             answer = FollowAnswer(catalog.revision, lease, now - received_at, changes)
@@ -237,8 +237,8 @@
             return rejection
         if isinstance(parsed, Failure):
             return parsed
-        if not self.group.has_served_term():
-            return self.group.refuse()
+        if not self.group.can_serve_reads():
+            return self.group.make_redirect()
         match parsed.change:
             case SetUpstream(upstream):
                 known = self.machine.catalog.upstreams.get(upstream.name)
@@ -276,14 +276,14 @@
             return Response(200, encode(outcome))
         return outcome
 
-    def _read_claim(self, group: Group, command: Look) -> ClaimOutcome | Failure:
+    def _read_claim(self, group: RaftNode, command: Look) -> ClaimOutcome | Failure:
         """Read the journal without appending to the log.
 
         Refused unless this is the leader and has applied an entry of its own term.
         """
         journal = group.machine
-        if not group.has_served_term() or not isinstance(journal, ClaimJournal):
-            return group.refuse()
+        if not group.can_serve_reads() or not isinstance(journal, ClaimJournal):
+            return group.make_redirect()
         return journal.apply(command)
 
     async def _serve_metrics(self, request: Request) -> Answer:
@@ -298,12 +298,12 @@
             "leading": self.group.is_leading(),
             "incarnation": replica.incarnation,
             "term": replica.term,
-            "commit": replica.commit,
+            "commit": replica.commit_index,
             "revision": self.machine.catalog.revision,
             "members": [f"{m.name}/{m.incarnation[:12]}" for m in replica.members],
             "votes": Member(replica.name, replica.incarnation) in replica.members,
             "claims": {
-                name: group.replica.commit
+                name: group.replica.commit_index
                 for name, group in self.groups.items()
                 if name != _CATALOG_GROUP
             },
--- a/src/daleroad/coordinator.py
+++ b/src/daleroad/coordinator.py
@@ -34,7 +34,6 @@
 from daleroad.events import Event, log_event
 from daleroad.fleetfile import FleetKeeper
 from daleroad.grantlimits import ColdRule, GrantLimiter
-from daleroad.group import Group, decode_messages
 from daleroad.logtypes import Member
 from daleroad.notices import (
     EvacuateRequest,
@@ -55,14 +54,15 @@
 from daleroad.peers import Peers
 from daleroad.placer import Placer
 from daleroad.presence import Presence
+from daleroad.raftnode import RaftNode, decode_messages
 from daleroad.routing import ServiceRule
 from daleroad.security import check_peer
 from daleroad.serving import Answer, Request, Response, Router
-from daleroad.sitelog import Parse, SiteLog
-from daleroad.siterecord import SiteRecord
+from daleroad.siteclient import ConfigParser, SiteClient
+from daleroad.sitestate import SiteStateMachine
 from daleroad.storage import Storage
 from daleroad.suspectfile import SuspectFile
-from daleroad.voters import SILENT_SECONDS, plan_voters
+from daleroad.voters import MAX_VOTER_SILENCE_SECONDS, plan_voters
 
 GROUP_NAME = "site"
 _MAX_BODY_BYTES = 64_000_000
@@ -74,61 +74,61 @@
 
     :param name: IP:PORT at which the other coordinators reach this one.
     :param seeds: addresses of coordinators that are always contacted, even if they are silent.
-    :param data: directory on a persistent disk, or empty on a VM without one.
-    :param founding: whether the whole site starts for the first time.
+    :param data_dir: directory on a persistent disk, or empty on a VM without one.
+    :param is_new_site: whether the whole site starts for the first time.
     :param heartbeat: interval of upstreams' heartbeats in seconds.
     :param zones: the site's availability zones; empty if they are not known.
-    :param cold: limits on requests to cold upstreams.
+    :param cold_rule: limits on requests to cold upstreams.
     """
 
     name: str
     seeds: tuple[str, ...]
-    data: str
-    founding: bool
+    data_dir: str
+    is_new_site: bool
     heartbeat: float = 1.0
     zones: tuple[str, ...] = ()
-    cold: ColdRule = ColdRule()
+    cold_rule: ColdRule = ColdRule()
 
 
 class Coordinator:
     """One coordinator of a site.
 
     :param options: its start options.
-    :param links: client for calls to other processes.
+    :param calls: client for calls to other processes.
     :param parse: parses a routing configuration from its document.
     :param random: source of election timeouts and identifiers, and for the choice of upstreams.
     """
 
     def __init__(
-        self, options: CoordinatorOptions, links: Calls, parse: Parse, random: Random
+        self, options: CoordinatorOptions, calls: Calls, parse: ConfigParser, random: Random
     ) -> None:
         self.options = options
-        self.links = links
-        self.record = SiteRecord()
+        self.calls = calls
+        self.record = SiteStateMachine()
         self.record.on_change = self._handle_document_change
-        self.record.on_zones = self._handle_zone_change
+        self.record.on_zones_change = self._handle_zone_change
         self._evacuated: tuple[str, ...] = ()
         self._history = DocumentHistory()
         self._services: dict[str, ServiceRule] = {}
         self.peers = Peers(options.name, set(options.seeds))
-        self.presence = Presence(options.name, links, self.peers, self._list_others, self._wake)
-        self._limits = GrantLimiter(options.cold)
+        self.presence = Presence(options.name, calls, self.peers, self._list_others, self._wake)
+        self._limits = GrantLimiter(options.cold_rule)
         self._placer = Placer(
             self.presence.fleet, self.presence.loads, options.heartbeat, random, self._limits
         )
         self.epoch = uuid4().hex[:12]
         self._parse = parse
-        data_dir = Path(options.data) if options.data else None
+        data_dir = Path(options.data_dir) if options.data_dir else None
         path = data_dir / f"{GROUP_NAME}.db" if data_dir else None
         self._fleet_keeper = (
             FleetKeeper(data_dir, self.presence.fleet, options.heartbeat) if data_dir else None
         )
         self._suspect_keeper = SuspectFile(data_dir, self.presence.suspects) if data_dir else None
         self._storage = Storage(path)
-        self.group = Group(
-            GROUP_NAME, options.name, {}, self._storage, self.record, links, random, make_url
+        self.group = RaftNode(
+            GROUP_NAME, options.name, {}, self._storage, self.record, calls, random, make_url
         )
-        self.log = SiteLog(options.name, self.group, self.record, links, parse, options.zones)
+        self.log = SiteClient(options.name, self.group, self.record, calls, parse, options.zones)
         self._ready = False
         # By name: whether the coordinator has a disk, and when it last asked to join.
         self._standbys: dict[str, tuple[bool, float]] = {}
@@ -139,7 +139,7 @@
 
         :param tasks: task group for the background tasks.
         """
-        if self._storage.is_new() and self.options.founding:
+        if self._storage.is_empty() and self.options.is_new_site:
             await self._found_group()
         await self.group.run(tasks)
         if self._fleet_keeper is not None:
@@ -159,7 +159,7 @@
         """Close the log's storage; no task of this coordinator may be running."""
         self._storage.close()
 
-    def is_leading(self) -> float:
+    def get_leading_gauge(self) -> float:
         """Return 1 while this coordinator is the leader with a lease, else 0, as a metric."""
         return float(self._ready and self.group.is_leading())
 
@@ -196,27 +196,27 @@
         if self.options.name not in names:
             return
         members = tuple(Member(name, f"founding-{name}") for name in sorted(names))
-        self._storage.found(f"founding-{self.options.name}", members, "")
+        self._storage.bootstrap(f"founding-{self.options.name}", members, "")
         log_event(Event.GROUP_FOUNDED, member=self.options.name, members=sorted(names))
 
     async def _identify(self, seed: str) -> IdentifyAnswer:
         if seed == self.options.name:
-            return IdentifyAnswer(seed, bool(self.options.data))
+            return IdentifyAnswer(seed, bool(self.options.data_dir))
         while True:
             url = f"{make_url(seed)}/site/identify"
-            answer = await self.links.call(url, b"{}", IdentifyAnswer, FOUNDING_CALL_SECONDS)
+            answer = await self.calls.call(url, b"{}", IdentifyAnswer, FOUNDING_CALL_SECONDS)
             if isinstance(answer, IdentifyAnswer):
                 return answer
             await anyio.sleep(FOUNDING_PAUSE_SECONDS)
 
     async def _join_loop(self) -> None:
         """Ask the other coordinators for the log, while this process is not a voter."""
-        request = encode(JoinRequest(self.options.name, bool(self.options.data)))
+        request = encode(JoinRequest(self.options.name, bool(self.options.data_dir)))
         while True:
             if not self._is_voter():
                 for peer in self._list_others():
                     url = f"{make_url(peer)}/site/join"
-                    answer = await self.links.call(
+                    answer = await self.calls.call(
                         url, request, ShareAnswer, COORDINATOR_CALL_SECONDS
                     )
                     if isinstance(answer, ShareAnswer):
@@ -262,12 +262,12 @@
             for name, (disk, at) in self._standbys.items()
             if now - at < STANDBY_SILENT_SECONDS
         }
-        if set(replica.peers) != set(active):
+        if set(replica.learners) != set(active):
             replica.set_learners(active)
         caught_up = [m for m in replica.list_caught_up() if active.get(m.name)]
-        heard = replica.list_heard(now - SILENT_SECONDS) | {self.options.name}
+        heard = replica.list_responsive(now - MAX_VOTER_SILENCE_SECONDS) | {self.options.name}
         planned = plan_voters(replica.members, heard, caught_up)
-        if planned is None or not replica.get_settled_members():
+        if planned is None or not replica.get_stable_members():
             return
         outcome = replica.propose_members(planned, now)
         if not isinstance(outcome, Failure):
@@ -299,11 +299,11 @@
 
     def _decode_request(self, request: Request, message_type: Any) -> Any:
         """Return the decoded body of an authenticated request, or a failure."""
-        refusal = check_peer(request.headers, self.links.token)
+        refusal = check_peer(request.headers, self.calls.token)
         return refusal if refusal is not None else decode(message_type, request.body)
 
     async def _serve_peer(self, request: Request) -> Answer:
-        refusal = check_peer(request.headers, self.links.token)
+        refusal = check_peer(request.headers, self.calls.token)
         if refusal is not None:
             return refusal
         messages = decode_messages(request.body)
@@ -314,10 +314,10 @@
         return Response(204)
 
     async def _serve_identify(self, request: Request) -> Answer:
-        refusal = check_peer(request.headers, self.links.token)
+        refusal = check_peer(request.headers, self.calls.token)
         if refusal is not None:
             return refusal
-        answer = IdentifyAnswer(self.options.name, bool(self.options.data))
+        answer = IdentifyAnswer(self.options.name, bool(self.options.data_dir))
         return Response(200, encode(answer))
 
     async def _serve_join(self, request: Request) -> Answer:
@@ -332,7 +332,7 @@
         message = self._decode_request(request, ShareRequest)
         if isinstance(message, Failure):
             return message
-        all_known = self.presence.take_share(message)
+        all_known = self.presence.merge_share(message)
         coordinators = self.list_coordinators() if self._ready else ()
         return Response(200, encode(ShareAnswer(coordinators, self.epoch, all_known)))
 
@@ -370,7 +370,7 @@
     def _make_watch_answer(self, message: WatchRequest, arrived_at: float) -> WatchAnswer:
         now = anyio.current_time()
         document = self.record.document
-        update = self._history.tell(document, message.version, message.whole)
+        update = self._history.make_update(document, message.version, message.whole)
         fleet = self.presence.fleet
         same_epoch = message.epoch == self.epoch
         known_revision = message.revision if same_epoch else -1
@@ -427,7 +427,7 @@
         if isinstance(message, Failure):
             return message
         if not self.group.is_leading():
-            return self.group.refuse()
+            return self.group.make_redirect()
         config = self._parse(message.document.encode())
         if isinstance(config, Failure):
             return config
@@ -440,8 +440,8 @@
         if isinstance(message, Failure):
             return message
         if not self.group.is_leading():
-            return self.group.refuse()
-        answer = await self.log.order_once(message)
+            return self.group.make_redirect()
+        answer = await self.log.set_zone_evacuated_once(message)
         return answer if isinstance(answer, Failure) else Response(200, encode(answer))
 
     async def _serve_evacuate(self, request: Request) -> Answer:
@@ -449,35 +449,35 @@
         message = self._decode_request(request, EvacuateRequest)
         if isinstance(message, Failure):
             return message
-        answer = await self.log.order_zone(message.zone, message.evacuated)
+        answer = await self.log.set_zone_evacuated(message.zone, message.evacuated)
         return answer if isinstance(answer, Failure) else Response(200, encode(answer))
 
     async def _serve_evacuations(self, request: Request) -> Answer:
-        refusal = check_peer(request.headers, self.links.token)
+        refusal = check_peer(request.headers, self.calls.token)
         if refusal is not None:
             return refusal
         return Response(200, encode(self.record.evacuations))
 
     async def _serve_read(self, request: Request) -> Answer:
-        refusal = check_peer(request.headers, self.links.token)
+        refusal = check_peer(request.headers, self.calls.token)
         if refusal is not None:
             return refusal
-        if not self.group.has_served_term():
-            return self.group.refuse()
+        if not self.group.can_serve_reads():
+            return self.group.make_redirect()
         document = self.record.document
         return Response(200, encode(ReadAnswer(document.version, document.text)))
 
     async def _serve_suspects(self, request: Request) -> Answer:
-        refusal = check_peer(request.headers, self.links.token)
+        refusal = check_peer(request.headers, self.calls.token)
         if refusal is not None:
             return refusal
-        return Response(200, encode(self.presence.shared.list_all()))
+        return Response(200, encode(self.presence.shared_suspects.list_all()))
 
     async def _serve_release(self, request: Request) -> Answer:
         message = self._decode_request(request, ReleaseRequest)
         if isinstance(message, Failure):
             return message
-        failure = self.presence.shared.release(message.fingerprint)
+        failure = self.presence.shared_suspects.release(message.fingerprint)
         return failure if failure is not None else Response(204)
 
     async def _serve_trial(self, request: Request) -> Answer:
@@ -486,7 +486,7 @@
             return message
         if not self._ready or not self.group.is_leading():
             return Failure(FailureKind.NOT_LEADER, "only the leading coordinator gives trials")
-        granted = self.presence.shared.grant_trial(message.fingerprint)
+        granted = self.presence.shared_suspects.grant_trial(message.fingerprint)
         return Response(200, encode(TrialAnswer(granted)))
 
     def _handle_zone_change(self) -> None:
@@ -504,7 +504,7 @@
 
     def _handle_document_change(self) -> None:
         document = self.record.document
-        self._history.note(document)
+        self._history.add(document)
         config = self._parse(document.text.encode())
         if isinstance(config, Failure):
             log_event(Event.DOCUMENT_UNREADABLE, index=document.version, reason=config.reason)
--- a/src/daleroad/defaults.py
+++ b/src/daleroad/defaults.py
@@ -14,15 +14,15 @@
 """A loop that comes so late to its turn was frozen, suspended or starved; what waited for it
 meanwhile may be as old."""
 
-ELECTION_MIN_SECONDS = 0.7
-ELECTION_MAX_SECONDS = 1.4
+MIN_ELECTION_TIMEOUT_SECONDS = 0.7
+MAX_ELECTION_TIMEOUT_SECONDS = 1.4
 """Range from which each election timeout is drawn."""
 
-APPEND_SECONDS = 0.18
+HEARTBEAT_SECONDS = 0.18
 """Interval between a leader's heartbeats."""
 
 LEADER_LEASE_SECONDS = 0.55
-"""A leader serves for so long after it heard a majority; below ELECTION_MIN_SECONDS."""
+"""A leader serves for so long after it heard a majority; below MIN_ELECTION_TIMEOUT_SECONDS."""
 
 ENTRY_LEASE_SECONDS = 4.0
 """An entry serves for so long after it asked a leader that answered."""
@@ -76,28 +76,28 @@
 URGENT_DEADLINE_SECONDS = 10.0
 """The same for urgent routes."""
 
-SNAPSHOT_ENTRIES = 1000
+MAX_LOG_ENTRIES = 1000
 """Applied log entries after which a snapshot is taken."""
 
-SNAPSHOT_BYTES = 1_000_000
+MAX_LOG_BYTES = 1_000_000
 """Applied bytes after which a snapshot is taken; a hundred large changes fit a disk of 64 MB."""
 
 STORAGE_RETRY_SECONDS = 0.3
 """Pause before a disk that refused a write is tried again; well below an election timeout."""
 
-APPEND_MOST = 256
+MAX_APPEND_ENTRIES = 256
 """Log entries in one append message."""
 
 MARK_ENTRIES = 64
 """Log entries after which a disk's mark grows; a disk that goes back by more is found out."""
 
-RUNS_KEPT = 8
+MAX_REMEMBERED_RUNS = 8
 """Runs that a disk remembers, to show that it has not gone back."""
 
-OPERATIONS_KEPT = 20_000
+MAX_KEPT_OPERATIONS = 20_000
 """Outcomes kept to answer resent operations."""
 
-AUDIT_KEPT = 20_000
+MAX_AUDIT_ROWS = 20_000
 """Rows of the audit trail kept in the replicated state."""
 
 CLAIM_SHARDS = 2
@@ -177,7 +177,7 @@
 STANDBY_SILENT_SECONDS = 3.0
 """A coordinator not heard for so long is not named to others any more; several shares."""
 
-GATEWAY_SILENT_SECONDS = 1.3
+GATEWAY_TIMEOUT_SECONDS = 1.3
 """A gateway not heard for so long gets no new clients; its slowest question and a share."""
 
 GATEWAY_DOUBTFUL_SECONDS = 6.0
@@ -194,10 +194,10 @@
 LEADER_WAIT_SECONDS = 0.85
 """How long a coordinator looks for a leader; callers wait for one second."""
 
-LOOKUP_KEPT_SECONDS = 2
+LOOKUP_TTL_SECONDS = 2
 """How long a client may keep the addresses it was told; below what a heartbeat's loss takes."""
 
-LOOKUP_CHANGING_SECONDS = 0.5
+LOOKUP_DRAIN_TTL_SECONDS = 0.5
 """The same while a gateway drains. Where several do so in turn an older answer names some of them,
 and a client that one of them refuses meets the next: 5 of 301 long generations, 0.6 s apart."""
 
@@ -210,19 +210,19 @@
 COORDINATOR_DRAIN_SECONDS = 1.0
 """How long a coordinator that stops answers what it has read; its callers wait for one second."""
 
-LEAVE_TOLD_SECONDS = 0.4
+MAX_DEPARTURE_SHARE_SECONDS = 0.4
 """How long an upstream's leave waits for other coordinators; its caller waits for one second."""
 
-FLEET_KEPT_SECONDS = 0.5
+PERSIST_INTERVAL_SECONDS = 0.5
 """Interval at which a coordinator writes down upstreams that changed."""
 
 SHARE_SECONDS = 0.3
 """Interval at which coordinators tell each other who they heard; well below a heartbeat."""
 
-WATCHES = 3
+WATCHED_COORDINATORS = 3
 """Coordinators that a gateway watches; two may be lost."""
 
-WATCH_FAST_SECONDS = 0.25
+MIN_LOAD_EXCHANGE_SECONDS = 0.25
 """Interval at which a gateway exchanges loads with the leading coordinator."""
 
 WATCH_FAST_GATEWAYS = 24
@@ -259,7 +259,7 @@
 """How long a gateway gathers changes of its work before it tells the leading coordinator; far below
 the time between two prompts of one gateway, which is a second on a small site."""
 
-LOADS_KNOWN_SHARE = 0.9
+MIN_LOADS_KNOWN_RATIO = 0.9
 """Part of the gateways whose work a coordinator must know before it names engines for all; a new
 leader hears from each within one interval of their questions."""
 
@@ -270,7 +270,7 @@
 WATCH_SLACK_SECONDS = 0.6
 """Time beyond its wait after which a watch counts as failed."""
 
-LEADER_AGAIN_SECONDS = 2.0
+LEADER_RETRY_SECONDS = 2.0
 """How long a gateway leaves a leader alone that failed it. A try of one that can't be reached takes
 up to 1.6 s of one of three watches."""
 
--- a/src/daleroad/demo.py
+++ b/src/daleroad/demo.py
@@ -14,7 +14,7 @@
 from hdrh.histogram import HdrHistogram
 
 from daleroad.caller import Caller, Token, Whole
-from daleroad.control import Control, found
+from daleroad.control import Control, initialise_data_folder
 from daleroad.engine import Engine
 from daleroad.entry import Entry
 from daleroad.errors import DaleroadError, Failure, FailureKind
@@ -72,7 +72,7 @@
 
     def __init__(self, site: Site, random: Random) -> None:
         for settings in site.control:
-            found(settings)
+            initialise_data_folder(settings)
         self.site = site
         self.controls = [Control(settings, random) for settings in site.control]
         self.entries = [Entry(settings, random) for settings in site.entries]
--- a/src/daleroad/directory.py
+++ b/src/daleroad/directory.py
@@ -81,7 +81,7 @@
 
     def refresh(self) -> None:
         """Rebuild the index if the membership changed."""
-        current = (self.catalog.epoch, self.catalog.placed)
+        current = (self.catalog.epoch, self.catalog.upstreams_revision)
         if self._indexed_version == current:
             return
         self._indexed_version = current
@@ -115,7 +115,7 @@
 
         :param token_hash: SHA-256 of the token in hex.
         """
-        return self.catalog.by_token.get(token_hash)
+        return self.catalog.organisations_by_token_hash.get(token_hash)
 
     def get_route(self, name: str, partner: str) -> Route | None:
         """Return a partner's route, or None if it has none of that name.
--- a/src/daleroad/documents.py
+++ b/src/daleroad/documents.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from daleroad.patches import Patch, make_patch
-from daleroad.siterecord import Document
+from daleroad.sitestate import Document
 
 MAX_KEPT_VERSIONS = 6
 """Versions kept as bases of patches. During a series of changes, a gateway is one or two versions
@@ -34,7 +34,7 @@
     _texts: dict[int, str] = field(default_factory=dict)
     _patches: dict[int, Patch] = field(default_factory=dict)
 
-    def note(self, document: Document) -> None:
+    def add(self, document: Document) -> None:
         """Add the newest configuration; evicts the oldest versions and all cached patches.
 
         :param document: the configuration.
@@ -44,7 +44,7 @@
             del self._texts[version]
         self._patches.clear()
 
-    def tell(self, document: Document, version: int, whole: bool) -> DocumentUpdate:
+    def make_update(self, document: Document, version: int, whole: bool) -> DocumentUpdate:
         """Return the update that a follower needs.
 
         The text is sent in full if the follower's version is no longer kept.
--- a/src/daleroad/draining.py
+++ b/src/daleroad/draining.py
@@ -12,7 +12,7 @@
     DRAIN_RETRY_SECONDS,
     DRAIN_SECONDS_PER_TOKEN,
     GATEWAY_RESTART_SECONDS,
-    LOOKUP_KEPT_SECONDS,
+    LOOKUP_TTL_SECONDS,
 )
 from daleroad.dispatch import Prompt
 from daleroad.routing import Repeat, RouteRule
@@ -87,7 +87,7 @@
         return round(max(0.0, left) + GATEWAY_RESTART_SECONDS, 2)
     # Clients retry an address from their last lookup. If most gateways are draining, they should
     # wait until that lookup has expired.
-    return DRAIN_RETRY_SECONDS if 2 * others >= gateways else LOOKUP_KEPT_SECONDS
+    return DRAIN_RETRY_SECONDS if 2 * others >= gateways else LOOKUP_TTL_SECONDS
 
 
 def should_accept(need: DurationEstimate, left: float, allowed: float, retry_after: float) -> bool:
--- a/src/daleroad/environment.py
+++ b/src/daleroad/environment.py
@@ -9,8 +9,8 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
 from daleroad.catalog import Catalog
+from daleroad.catalogfollower import CatalogFollower
 from daleroad.directory import Directory
-from daleroad.follower import Follower
 from daleroad.health import Ejector
 from daleroad.lengths import OutputLengths
 from daleroad.links import Links
@@ -83,7 +83,7 @@
 
     def __post_init__(self) -> None:
         self.directory = Directory(self.catalog)
-        self.follower = Follower(self.settings, self.links, self.catalog)
+        self.follower = CatalogFollower(self.settings, self.links, self.catalog)
 
     def spawn(self, func: Callable[..., Coroutine[Any, Any, Any]], *args: Any) -> None:
         """Run something in the background for as long as the entry runs.
--- a/src/daleroad/fleetfile.py
+++ b/src/daleroad/fleetfile.py
@@ -11,12 +11,12 @@
 
 import anyio
 
+from daleroad.atomicfile import persist_on_change, read_file
 from daleroad.codec import decode, encode
 from daleroad.errors import Failure
 from daleroad.events import Event, log_event
 from daleroad.fleet import Fleet
 from daleroad.instances import Sighting
-from daleroad.keptfile import keep_file, read_file
 
 RECOVERED_HEARTBEATS = 1.75
 """Age in heartbeat intervals that is assumed for the instances read from disk. They are overdue, so
@@ -52,8 +52,8 @@
     async def run(self) -> None:
         """Save the known upstreams after each change, until cancelled."""
         fleet = self._fleet
-        await keep_file(
-            self._path, lambda: fleet.revision, self._dump, Event.FLEET_NOT_KEPT, kept=0
+        await persist_on_change(
+            self._path, lambda: fleet.revision, self._dump, Event.FLEET_NOT_KEPT, saved_revision=0
         )
 
     def _dump(self) -> bytes:
--- a/src/daleroad/leader.py
+++ b/src/daleroad/leaderclient.py
@@ -24,7 +24,7 @@
         self._leader_url = self._urls[0]
 
     async def call(
-        self, path: str, body: bytes, shape: Any, read_seconds: float, limit: float
+        self, path: str, body: bytes, answer_type: Any, read_seconds: float, limit: float
     ) -> Any:
         """POST a message to the leader, trying other members until a time limit.
 
@@ -32,14 +32,16 @@
 
         :param path: path of the call.
         :param body: the message as JSON.
-        :param shape: type of the answer.
+        :param answer_type: type of the answer.
         :param read_seconds: timeout of each attempt.
         :param limit: seconds after which no further attempt is made.
         """
         deadline = anyio.current_time() + limit
         ran = Ran.NO
         while True:
-            answer = await self._links.call(self._leader_url + path, body, shape, read_seconds)
+            answer = await self._links.call(
+                self._leader_url + path, body, answer_type, read_seconds
+            )
             if not isinstance(answer, Failure):
                 return answer
             if answer.kind is FailureKind.UNREACHABLE or answer.ran is Ran.UNKNOWN:
--- a/src/daleroad/links.py
+++ b/src/daleroad/links.py
@@ -52,13 +52,13 @@
             await client.aclose()
 
     async def call(
-        self, url: str, body: bytes, shape: Any, read_seconds: float | None = None
+        self, url: str, body: bytes, answer_type: Any, read_seconds: float | None = None
     ) -> Any:
         """POST a message to one of our processes and return the typed answer or a failure.
 
         :param url: the whole URL.
         :param body: the message as JSON.
-        :param shape: the type of the answer.
+        :param answer_type: the type of the answer.
         :param read_seconds: longest wait for the answer, if not the default.
         """
         timeout: Any = httpx.USE_CLIENT_DEFAULT
@@ -74,4 +74,4 @@
             )
         except httpx.HTTPError as error:
             return Failure(FailureKind.UNREACHABLE, f"{url}: {error!r}")
-        return read_answer(response.status_code, response.content, shape)
+        return read_answer(response.status_code, response.content, answer_type)
--- a/src/daleroad/logtypes.py
+++ b/src/daleroad/logtypes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from daleroad.defaults import RUNS_KEPT
+from daleroad.defaults import MAX_REMEMBERED_RUNS
 
 
 class EntryKind(StrEnum):
@@ -68,7 +68,7 @@
             if run.name == last.name:
                 return run.mark >= last.mark
         # A run from before all that is remembered says nothing against the disk.
-        return len(self.runs) >= RUNS_KEPT and self.runs[0].mark > last.mark
+        return len(self.runs) >= MAX_REMEMBERED_RUNS and self.runs[0].mark > last.mark
 
 
 @dataclass(frozen=True)
--- a/src/daleroad/messages.py
+++ b/src/daleroad/messages.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Effective:
+class AcceptedChange:
     """A committed change with its log index."""
 
     index: int
@@ -36,7 +36,7 @@
     revision: int
     lease: float
     held: float
-    changes: tuple[Effective, ...] = ()
+    changes: tuple[AcceptedChange, ...] = ()
     state: str = ""
 
 
--- a/src/daleroad/operators.py
+++ b/src/daleroad/operators.py
@@ -66,8 +66,8 @@
         The answer says whether it was in force before the requested wait ended.
         """
         operator = self._authenticate(ctx)
-        if not self._control.group.has_served_term():
-            return _make_refusal(self._control.group.refuse())
+        if not self._control.group.can_serve_reads():
+            return _make_refusal(self._control.group.make_redirect())
         change = _parse_change(request.kind, request.body)
         if isinstance(change, Failure):
             return _make_refusal(change)
@@ -96,8 +96,8 @@
         """
         operator = self._authenticate(ctx)
         catalog = self._control.machine.catalog
-        if not self._control.group.has_served_term():
-            raise ConnectError(Code.UNAVAILABLE, self._control.group.refuse().reason)
+        if not self._control.group.can_serve_reads():
+            raise ConnectError(Code.UNAVAILABLE, self._control.group.make_redirect().reason)
         if request.kind in ("entries", "upstreams"):
             table = catalog.entries if request.kind == "entries" else catalog.upstreams
             body = encode(tuple(table.values()))
@@ -117,8 +117,8 @@
     ) -> AuditAnswer:
         """Return audit rows of the operator's partner."""
         operator = self._authenticate(ctx)
-        if not self._control.group.has_served_term():
-            raise ConnectError(Code.UNAVAILABLE, self._control.group.refuse().reason)
+        if not self._control.group.can_serve_reads():
+            raise ConnectError(Code.UNAVAILABLE, self._control.group.make_redirect().reason)
         rows: Iterator[AuditRow] = (
             row
             for row in self._control.machine.catalog.audit
--- a/src/daleroad/peers.py
+++ b/src/daleroad/peers.py
@@ -7,7 +7,7 @@
 
 from daleroad.defaults import STANDBY_SILENT_SECONDS
 from daleroad.events import Event, log_event
-from daleroad.voters import SILENT_SECONDS
+from daleroad.voters import MAX_VOTER_SILENCE_SECONDS
 
 
 @dataclass
@@ -44,7 +44,7 @@
         :param name: its name.
         :param now: the time.
         """
-        return now - self._heard.get(name, float("-inf")) < SILENT_SECONDS
+        return now - self._heard.get(name, float("-inf")) < MAX_VOTER_SILENCE_SECONDS
 
     def learn(self, names: tuple[str, ...], now: float) -> None:
         """Note coordinators that another one named.
--- a/src/daleroad/presence.py
+++ b/src/daleroad/presence.py
@@ -16,12 +16,12 @@
 from daleroad.defaults import (
     COORDINATOR_CALL_SECONDS,
     GATEWAY_DOUBTFUL_SECONDS,
-    GATEWAY_SILENT_SECONDS,
-    LEAVE_TOLD_SECONDS,
-    LOADS_KNOWN_SHARE,
-    LOOKUP_CHANGING_SECONDS,
-    LOOKUP_KEPT_SECONDS,
+    GATEWAY_TIMEOUT_SECONDS,
+    LOOKUP_DRAIN_TTL_SECONDS,
+    LOOKUP_TTL_SECONDS,
     LOOP_STALL_SECONDS,
+    MAX_DEPARTURE_SHARE_SECONDS,
+    MIN_LOADS_KNOWN_RATIO,
     SHARE_SECONDS,
 )
 from daleroad.errors import Failure, FailureKind
@@ -97,7 +97,7 @@
     """One coordinator's view of upstreams and gateways.
 
     :param name: the coordinator's name.
-    :param links: client for calls to the other coordinators.
+    :param calls: client for calls to the other coordinators.
     :param peers: the other coordinators.
     :param list_others: returns the names of the other coordinators that may be alive.
     :param wake: called on changes that watching gateways should receive.
@@ -106,21 +106,21 @@
     def __init__(
         self,
         name: str,
-        links: Calls,
+        calls: Calls,
         peers: Peers,
         list_others: Callable[[], list[str]],
         wake: Callable[[], None],
     ) -> None:
         self.fleet = Fleet()
-        self.shared = SharedSuspects(self.fleet, wake)
-        self.suspects = self.shared.suspects
+        self.shared_suspects = SharedSuspects(self.fleet, wake)
+        self.suspects = self.shared_suspects.suspects
         self._name = name
-        self._links = links
+        self._calls = calls
         self._peers = peers
         self._list_others = list_others
         self._wake = wake
         self._gateways: dict[str, _Gateway] = {}
-        self.loads = LoadTotals(GATEWAY_SILENT_SECONDS)
+        self.loads = LoadTotals(GATEWAY_TIMEOUT_SECONDS)
         self._snapshot: _Snapshot | None = None
         self._revision = 0
         self._shared_at = float("-inf")
@@ -128,7 +128,7 @@
         self._pruned_at = float("inf")
         self._last_stall: _Stall | None = None
 
-    def take_share(self, message: ShareRequest) -> bool:
+    def merge_share(self, message: ShareRequest) -> bool:
         """Merge another coordinator's state; return whether all that it gives an age for is known.
 
         :param message: the share.
@@ -148,7 +148,7 @@
                 all_known = False
             else:
                 known.heard_at = max(known.heard_at, now - age)
-        self.shared.merge_reports(message.suspicions, now)
+        self.shared_suspects.merge_reports(message.suspicions, now)
         return all_known
 
     @contextmanager
@@ -167,7 +167,7 @@
         now = anyio.current_time()
         self._record_gateway(message.gateway, now)
         self.loads.set_report(message.gateway.address, message.loads, now)
-        self.shared.merge_reports(message.suspicions, now)
+        self.shared_suspects.merge_reports(message.suspicions, now)
         with self.wake_on_fleet_change():
             for notice in message.upstreams:
                 self._record_upstream(notice, message.gateway.address, now)
@@ -185,7 +185,7 @@
 
         :param now: the current time.
         """
-        return self.loads.count_gateways() >= LOADS_KNOWN_SHARE * self.count_gateways(now)
+        return self.loads.count_gateways() >= MIN_LOADS_KNOWN_RATIO * self.count_gateways(now)
 
     def prune(self, now: float) -> None:
         """Drop expired upstreams, loads and suspicions; called periodically.
@@ -199,7 +199,7 @@
             self._last_stall = _Stall(late_seconds, now + LOOP_STALL_SECONDS)
         self._pruned_at = now
         self.loads.remove_expired(now)
-        self.shared.tick(now)
+        self.shared_suspects.tick(now)
         for instance in self.fleet.prune(now):
             log_event(Event.UPSTREAM_LEFT, id=instance.id, service=instance.service, why="age")
             self._wake()
@@ -224,11 +224,11 @@
         """
         return self._get_snapshot(now).alive
 
-    def find_lookup_life(self) -> float:
+    def get_lookup_ttl_seconds(self) -> float:
         """Return how long a client should cache the addresses of gateways, in seconds."""
         snapshot = self._get_snapshot(anyio.current_time())
         drains = snapshot.alive > len(snapshot.serving)
-        return LOOKUP_CHANGING_SECONDS if drains else LOOKUP_KEPT_SECONDS
+        return LOOKUP_DRAIN_TTL_SECONDS if drains else LOOKUP_TTL_SECONDS
 
     def count_other_gateways(self, excluded: str) -> int:
         """Return how many other gateways accept clients.
@@ -238,7 +238,7 @@
         serving = self._get_snapshot(anyio.current_time()).serving
         return sum(notice.address != excluded for notice in serving)
 
-    async def hear(self, sighting: Sighting) -> Failure | None:
+    async def handle_heartbeat(self, sighting: Sighting) -> Failure | None:
         """Process an upstream's heartbeat; return a failure if a departure could not be shared.
 
         :param sighting: the heartbeat.
@@ -253,7 +253,7 @@
             return await self._share_departure(sighting.instance)
         return None
 
-    async def part(self, name: str, born: int = 0) -> Failure | None:
+    async def handle_departure(self, name: str, born: int = 0) -> Failure | None:
         """Mark an upstream as gone; return a failure if that could not be shared.
 
         :param name: the upstream's name.
@@ -281,13 +281,13 @@
             sightings = (Sighting(instance, 0.0),)
             request = encode(ShareRequest(self._name, (), sightings))
             url = f"{make_url(peer)}/site/share"
-            answer = await self._links.call(url, request, ShareAnswer, LEAVE_TOLD_SECONDS)
+            answer = await self._calls.call(url, request, ShareAnswer, MAX_DEPARTURE_SHARE_SECONDS)
             if isinstance(answer, ShareAnswer):
                 confirmed.append(peer)
             if 2 * len(confirmed) >= len(others):
                 done.set()
 
-        with anyio.move_on_after(LEAVE_TOLD_SECONDS):
+        with anyio.move_on_after(MAX_DEPARTURE_SHARE_SECONDS):
             async with anyio.create_task_group() as tasks:
                 for peer in others:
                     tasks.start_soon(notify, peer)
@@ -329,7 +329,7 @@
     def _get_snapshot(self, now: float) -> _Snapshot:
         """Return the cached snapshot of the gateways, or a new one if it is missing or expired."""
         if self._snapshot is None or now - self._snapshot.at > MAX_SNAPSHOT_AGE_SECONDS:
-            heard = self._list_heard(now, GATEWAY_SILENT_SECONDS, serving=False)
+            heard = self._list_heard(now, GATEWAY_TIMEOUT_SECONDS, serving=False)
             self._snapshot = _Snapshot(now, len(heard), tuple(n for n in heard if n.serving))
         return self._snapshot
 
@@ -398,7 +398,7 @@
 
     async def _share_with(self, peer: str, request: bytes, sent: _AckedRevisions) -> None:
         url = f"{make_url(peer)}/site/share"
-        answer = await self._links.call(url, request, ShareAnswer, COORDINATOR_CALL_SECONDS)
+        answer = await self._calls.call(url, request, ShareAnswer, COORDINATOR_CALL_SECONDS)
         if not isinstance(answer, ShareAnswer):
             return
         now = anyio.current_time()
--- a/src/daleroad/group.py
+++ b/src/daleroad/raftnode.py
@@ -17,9 +17,9 @@
 from daleroad.codec import decode, encode, register_union
 from daleroad.consensus import Replica, Role
 from daleroad.defaults import (
+    MAX_LOG_BYTES,
+    MAX_LOG_ENTRIES,
     PEER_TIMEOUT_SECONDS,
-    SNAPSHOT_BYTES,
-    SNAPSHOT_ENTRIES,
     STORAGE_RETRY_SECONDS,
     TICK_SECONDS,
 )
@@ -79,7 +79,7 @@
     message: Message
 
 
-class Group:
+class RaftNode:
     """One member of a replicated log.
 
     :param name: the name of the group, the same on all members.
@@ -142,21 +142,21 @@
             self.machine.load(durable.snapshot.state)
         self.applied = durable.snapshot.index
         self._logged_characters = sum(len(entry.payload) for entry in durable.log)
-        await self._execute(self.replica.take())
+        await self._execute(self.replica.take_effects())
 
     def is_leading(self) -> bool:
         """Return whether this member leads and holds the leader lease."""
         return self.replica.has_lease(anyio.current_time())
 
-    def has_served_term(self) -> bool:
+    def can_serve_reads(self) -> bool:
         """Return whether this member leads and may serve reads.
 
         It must have committed an entry of its own term and applied all committed entries.
         """
         return (
             self.is_leading()
-            and self.replica.get_term_at(self.replica.commit) == self.replica.term
-            and self.applied == self.replica.commit
+            and self.replica.get_term_at(self.replica.commit_index) == self.replica.term
+            and self.applied == self.replica.commit_index
         )
 
     def get_leader_url(self) -> str | None:
@@ -168,7 +168,7 @@
             self._urls[name] = self._locate(name)
         return self._urls.get(name)
 
-    def refuse(self) -> Failure:
+    def make_redirect(self) -> Failure:
         """Return the failure for a request that this member can't serve.
 
         It names the base URL of the leader if another member is known to lead. Otherwise, also if
@@ -195,7 +195,7 @@
         :param payload: the serialised change.
         """
         if not self.is_leading() or self._stopped:
-            return self.refuse()
+            return self.make_redirect()
         proposal = _Proposal(payload)
         self._queued.append(proposal)
         self._wake.set()
@@ -263,7 +263,7 @@
         indexes = self.replica.propose([p.payload for p in proposals], now)
         if isinstance(indexes, Failure):
             for proposal in proposals:
-                self._finish(proposal, self.refuse())
+                self._finish(proposal, self.make_redirect())
             return
         for index, proposal in zip(indexes, proposals, strict=True):
             proposal.term = self.replica.term
@@ -326,9 +326,9 @@
             log_event(Event.LEADER_STEPPED_DOWN, group=self.name, term=self.replica.term)
 
     async def _compact(self) -> None:
-        many = self.applied - self.replica.snapshot.index >= SNAPSHOT_ENTRIES
+        many = self.applied - self.replica.snapshot.index >= MAX_LOG_ENTRIES
         large = (
-            self._logged_characters >= SNAPSHOT_BYTES and self.applied > self.replica.snapshot.index
+            self._logged_characters >= MAX_LOG_BYTES and self.applied > self.replica.snapshot.index
         )
         if not many and not large:
             return
--- a/src/daleroad/standings.py
+++ b/src/daleroad/rollback.py
@@ -9,11 +9,11 @@
 from collections.abc import Iterable
 from random import Random
 
-from daleroad.defaults import MARK_ENTRIES, RUNS_KEPT
+from daleroad.defaults import MARK_ENTRIES, MAX_REMEMBERED_RUNS
 from daleroad.logtypes import Durable, Run, Standing
 
 
-class Standings:
+class RollbackDetector:
     """A member's own standing and the newest standings seen of others.
 
     :param durable: the state loaded from disk.
@@ -23,7 +23,7 @@
 
     def __init__(self, durable: Durable, last_index: int, random: Random) -> None:
         own = Run(f"{random.getrandbits(24):06x}", 0)
-        self._runs = (*durable.runs, own)[-RUNS_KEPT:]
+        self._runs = (*durable.runs, own)[-MAX_REMEMBERED_RUNS:]
         self._seen = {standing.incarnation: standing for standing in durable.seen}
         self._marked_at = 0
         self.raise_mark(last_index)
--- a/src/daleroad/sitelog.py
+++ b/src/daleroad/siteclient.py
@@ -20,17 +20,17 @@
 )
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.evacuations import EvacuatedZones, ZoneOrder
-from daleroad.group import Group
 from daleroad.notices import ReadAnswer, SaveAnswer, SaveRequest
+from daleroad.raftnode import RaftNode
 from daleroad.routing import RoutingConfig, validate_config
-from daleroad.siterecord import Document, SiteRecord
+from daleroad.sitestate import Document, SiteStateMachine
 
-Parse = Callable[[bytes], RoutingConfig | Failure]
+ConfigParser = Callable[[bytes], RoutingConfig | Failure]
 
 T = TypeVar("T")
 
 
-class SiteLog:
+class SiteClient:
     """Reads and changes the replicated state through one coordinator.
 
     :param name: name of the coordinator.
@@ -44,10 +44,10 @@
     def __init__(
         self,
         name: str,
-        group: Group,
-        record: SiteRecord,
+        group: RaftNode,
+        record: SiteStateMachine,
         links: Calls,
-        parse: Parse,
+        parse: ConfigParser,
         zones: tuple[str, ...] = (),
     ) -> None:
         self._name = name
@@ -87,12 +87,12 @@
         return await _retry_until_answered(self._read_once, Ran.NO)
 
     async def _read_once(self) -> ReadAnswer | Failure:
-        if self._group.has_served_term():
+        if self._group.can_serve_reads():
             document = self._record.document
             return ReadAnswer(document.version, document.text)
         return await self._call_leader("read", b"{}", ReadAnswer)
 
-    async def order_zone(self, zone: str, evacuated: bool) -> EvacuatedZones | Failure:
+    async def set_zone_evacuated(self, zone: str, evacuated: bool) -> EvacuatedZones | Failure:
         """Commit an operator's order to evacuate a zone or to end its evacuation.
 
         The order is idempotent on all coordinators: if the zone already is in the ordered state,
@@ -104,9 +104,9 @@
         if self._zones and zone not in self._zones:
             return Failure(FailureKind.INVALID, f"unknown availability zone {zone!r}")
         order = ZoneOrder(zone, evacuated, time.time(), self._name)
-        return await _retry_until_answered(lambda: self.order_once(order), Ran.UNKNOWN)
+        return await _retry_until_answered(lambda: self.set_zone_evacuated_once(order), Ran.UNKNOWN)
 
-    async def order_once(self, order: ZoneOrder) -> EvacuatedZones | Failure:
+    async def set_zone_evacuated_once(self, order: ZoneOrder) -> EvacuatedZones | Failure:
         """Commit a zone order, or forward it to the leader; one attempt.
 
         :param order: the order.
@@ -114,19 +114,21 @@
         if not self._group.is_leading():
             return await self._call_leader("order-zone", encode(order), EvacuatedZones)
         known = self._record.zones
-        if self._group.has_served_term() and (order.zone in known.zones) == order.evacuated:
+        if self._group.can_serve_reads() and (order.zone in known.zones) == order.evacuated:
             # The state is committed, and the lease excludes another leader, so nothing is appended.
             return known
         outcome = await self._group.propose(encode(order).decode())
         assert isinstance(outcome, Failure | EvacuatedZones)
         return outcome
 
-    async def _call_leader(self, call: str, body: bytes, shape: type[T]) -> T | Failure:
+    async def _call_leader(self, call: str, body: bytes, answer_type: type[T]) -> T | Failure:
         leader = self._group.get_leader_url()
         if leader is None or self._group.replica.leader == self._name:
             return Failure(FailureKind.NO_MAJORITY, "no leader is known")
         url = f"{leader}/site/{call}"
-        answer: T | Failure = await self._links.call(url, body, shape, COORDINATOR_CALL_SECONDS)
+        answer: T | Failure = await self._links.call(
+            url, body, answer_type, COORDINATOR_CALL_SECONDS
+        )
         return answer
 
 
--- a/src/daleroad/siterecord.py
+++ b/src/daleroad/sitestate.py
@@ -33,18 +33,18 @@
     evacuations: Evacuations = Evacuations()
 
 
-class SiteRecord:
+class SiteStateMachine:
     """The routing configuration with the highest version, and the evacuated zones.
 
     :ivar on_change: called when the routing configuration has changed.
-    :ivar on_zones: called when the evacuated zones have changed.
+    :ivar on_zones_change: called when the evacuated zones have changed.
     """
 
     def __init__(self) -> None:
         self.document = Document(0, "")
         self.evacuations = Evacuations()
         self.on_change: Callable[[], None] = lambda: None
-        self.on_zones: Callable[[], None] = lambda: None
+        self.on_zones_change: Callable[[], None] = lambda: None
 
     @property
     def zones(self) -> EvacuatedZones:
@@ -75,7 +75,7 @@
             by=order.by,
         )
         if changed:
-            self.on_zones()
+            self.on_zones_change()
         return self.zones
 
     def _apply_document(self, index: int, payload: str) -> Document:
@@ -106,7 +106,7 @@
             return
         if state.evacuations.current.version > self.zones.version:
             self.evacuations = state.evacuations
-            self.on_zones()
+            self.on_zones_change()
         if state.version > self.document.version:
             self.document = Document(state.version, state.text)
             self.on_change()
--- a/src/daleroad/stewardship.py
+++ b/src/daleroad/stewardship.py
@@ -19,7 +19,7 @@
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind
 from daleroad.events import Event, log_event
-from daleroad.leader import LeaderClient
+from daleroad.leaderclient import LeaderClient
 from daleroad.messages import (
     Handover,
     MembershipAnswer,
--- a/src/daleroad/storage.py
+++ b/src/daleroad/storage.py
@@ -88,14 +88,14 @@
         seen = decode(tuple[Standing, ...], meta.get("seen", "[]"))
         return Durable(meta["incarnation"], term, meta["vote"], settled, runs, seen, snapshot, log)
 
-    def found(self, incarnation: str, members: tuple[Member, ...], state: str) -> None:
+    def bootstrap(self, incarnation: str, members: tuple[Member, ...], state: str) -> None:
         """Write the initial state of a new group to an empty file.
 
         :param incarnation: this member's first incarnation.
         :param members: the initial membership.
         :param state: the initial state, serialised.
         """
-        if not self.is_new():
+        if not self.is_empty():
             raise StorageError(
                 Failure(FailureKind.CONFLICT, f"{self.path} already holds the state of a group")
             )
@@ -140,7 +140,7 @@
         if self._db.in_transaction:
             self._db.execute("ROLLBACK")
 
-    def is_new(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether nothing has been saved yet."""
         return not self._db.execute("SELECT count(*) FROM meta").fetchone()[0]
 
--- a/src/daleroad/suspectfile.py
+++ b/src/daleroad/suspectfile.py
@@ -1,18 +1,18 @@
 """Persistence of the suspected requests in a file on a coordinator's disk.
 
 Gateways and coordinators replicate the suspects among themselves, so the file matters only after
-all of them have failed at once. Changes are written every FLEET_KEPT_SECONDS; later ones are lost
-and learnt anew. Ages are stored as of the write, so downtime does not shorten a hold.
+all of them have failed at once. Changes are written every PERSIST_INTERVAL_SECONDS; later ones are
+lost and learnt anew. Ages are stored as of the write, so downtime does not shorten a hold.
 """
 
 from pathlib import Path
 
 import anyio
 
+from daleroad.atomicfile import persist_on_change, read_file
 from daleroad.codec import decode, encode
 from daleroad.errors import Failure
 from daleroad.events import Event, log_event
-from daleroad.keptfile import keep_file, read_file
 from daleroad.suspects import Suspects, Suspicion
 
 _NAME = "suspects.json"
@@ -45,7 +45,7 @@
     async def run(self) -> None:
         """Write the file whenever the suspects have changed, until cancelled."""
         suspects = self._suspects
-        await keep_file(
+        await persist_on_change(
             self._path,
             lambda: suspects.revision,
             self._encode,
--- a/src/daleroad/voters.py
+++ b/src/daleroad/voters.py
@@ -11,7 +11,7 @@
 MAX_VOTERS = 5
 """Maximum voters in a group. Five tolerate the loss of two; more would slow each commit."""
 
-SILENT_SECONDS = 1.5
+MAX_VOTER_SILENCE_SECONDS = 1.5
 """Time without an answer to the leader after which a standby may replace a voter.
 
 It spans several heartbeats and is well below the time after which a second loss must be tolerated.
--- a/src/daleroad/watching.py
+++ b/src/daleroad/watching.py
@@ -14,15 +14,15 @@
 from daleroad.calls import Calls
 from daleroad.codec import encode
 from daleroad.defaults import (
-    LEADER_AGAIN_SECONDS,
+    LEADER_RETRY_SECONDS,
+    MIN_LOAD_EXCHANGE_SECONDS,
     WATCH_FAST_GATEWAYS,
     WATCH_FAST_GATHER_SECONDS,
-    WATCH_FAST_SECONDS,
     WATCH_PAUSE_SECONDS,
     WATCH_SLACK_SECONDS,
     WATCH_SLOW_GATHER_SECONDS,
     WATCH_SLOW_SECONDS,
-    WATCHES,
+    WATCHED_COORDINATORS,
 )
 from daleroad.dispatchguard import log_suspect
 from daleroad.errors import Failure
@@ -33,7 +33,7 @@
 from daleroad.notices import WatchAnswer, WatchRequest
 from daleroad.patches import apply_patch
 from daleroad.routing import RoutingConfig
-from daleroad.siterecord import Document
+from daleroad.sitestate import Document
 
 Parse = Callable[[bytes], RoutingConfig | Failure]
 
@@ -75,13 +75,13 @@
     """Watches coordinators and applies their answers to a gateway.
 
     :param gateway: the gateway.
-    :param links: client for calls to coordinators.
+    :param calls: client for calls to coordinators.
     :param parse: parses a routing configuration from its document.
     """
 
-    def __init__(self, gateway: Gateway, links: Calls, parse: Parse) -> None:
+    def __init__(self, gateway: Gateway, calls: Calls, parse: Parse) -> None:
         self._gateway = gateway
-        self._links = links
+        self._calls = calls
         self._parse = parse
         self._seeds = gateway.options.seeds
         self._coordinators: tuple[str, ...] = ()
@@ -99,7 +99,7 @@
         """
         self._seeds = seeds
 
-    def tell_now(self) -> None:
+    def send_report_now(self) -> None:
         """Send new watch requests at once, because this gateway's notice or its reports changed."""
         self._report_needed.set()
         self._report_needed = anyio.Event()
@@ -113,7 +113,7 @@
     async def run(self) -> None:
         """Watch until cancelled."""
         async with anyio.create_task_group() as tasks:
-            for slot in range(WATCHES):
+            for slot in range(WATCHED_COORDINATORS):
                 tasks.start_soon(self._watch_slot, slot)
 
     async def _watch_slot(self, slot: int) -> None:
@@ -172,7 +172,7 @@
         when it knows the loads of nearly all gateways.
         """
         failed_at = self._failed_at.get(self._leader, float("-inf"))
-        return anyio.current_time() - failed_at >= LEADER_AGAIN_SECONDS
+        return anyio.current_time() - failed_at >= LEADER_RETRY_SECONDS
 
     def _is_load_exchange_peer(self, name: str) -> bool:
         if self._leader in self._watched.values():
@@ -224,7 +224,7 @@
         async def call() -> None:
             url = f"http://{name}/site/watch"
             seconds = wait + WATCH_SLACK_SECONDS
-            answers.append(await self._links.call(url, request.body, WatchAnswer, seconds))
+            answers.append(await self._calls.call(url, request.body, WatchAnswer, seconds))
             tasks.cancel_scope.cancel()
 
         async def interrupt() -> None:
@@ -344,5 +344,5 @@
 
     :param gateways: number of gateways.
     """
-    scaled = WATCH_FAST_SECONDS * gateways / WATCH_FAST_GATEWAYS
-    return min(WATCH_SLOW_SECONDS, max(WATCH_FAST_SECONDS, scaled))
+    scaled = MIN_LOAD_EXCHANGE_SECONDS * gateways / WATCH_FAST_GATEWAYS
+    return min(WATCH_SLOW_SECONDS, max(MIN_LOAD_EXCHANGE_SECONDS, scaled))
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -17,7 +17,7 @@
 from anyio.from_thread import start_blocking_portal
 
 from daleroad.caller import Caller, CallerPart, Token, Whole
-from daleroad.control import found
+from daleroad.control import initialise_data_folder
 from daleroad.demo import write_records
 from daleroad.engine import EngineOptions, make_token
 from daleroad.errors import Failure
@@ -58,7 +58,7 @@
 
     def found(self) -> None:
         for settings in self.site.control:
-            found(settings)
+            initialise_data_folder(settings)
 
     def start_all(self) -> None:
         for settings in (*self.site.control, *self.site.entries):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -136,7 +136,7 @@
         if seeds:
             calls = ChannelCalls("secret")
             watcher = Watcher(gateway, calls, parse)
-            gateway.on_update = watcher.tell_now
+            gateway.on_update = watcher.send_report_now
             gateway.selector.request_placement = PlacerClient(
                 gateway, calls, watcher.get_leader
             ).request_placement
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -17,12 +17,12 @@
 import anyio
 
 from daleroad.catalog import Catalog
+from daleroad.catalogfollower import CatalogFollower
 from daleroad.clock import read_clock, read_running_clock, run_on_clock, watch_clock
 from daleroad.codec import decode
 from daleroad.defaults import CLOCK_TURN_SECONDS, LOOP_STALL_SECONDS, SHARE_SECONDS
 from daleroad.dispatch import Lost
 from daleroad.errors import Failure, FailureKind
-from daleroad.follower import Follower
 from daleroad.gateway import Gateway
 from daleroad.instances import Sighting
 from daleroad.loopback import make_site
@@ -108,10 +108,10 @@
             leader = site.get_leader()
             assert leader is not None
             await leader.log.save(make_document(1))
-            self.assertTrue(leader.is_leading())
+            self.assertTrue(leader.get_leading_gauge())
             clock.suspend()
-            self.assertFalse(leader.is_leading())
-            self.assertFalse(leader.group.has_served_term())
+            self.assertFalse(leader.get_leading_gauge())
+            self.assertFalse(leader.group.can_serve_reads())
 
         run_beside(main)
 
@@ -195,7 +195,7 @@
             catalog = Catalog()
             with tempfile.TemporaryDirectory(prefix="daleroad-test-") as folder:
                 settings = make_site(folder, 1, 1).entries[0]
-                follower = Follower(settings, calls, catalog)
+                follower = CatalogFollower(settings, calls, catalog)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(follower.run)
                     await wait_for(follower.has_lease)
@@ -214,7 +214,9 @@
     def __init__(self, answer: object) -> None:
         self._answer = answer
 
-    async def call(self, url: str, body: bytes, shape: Any, read_seconds: float | None = None):
+    async def call(
+        self, url: str, body: bytes, answer_type: Any, read_seconds: float | None = None
+    ):
         await anyio.sleep(0.01)
         return self._answer
 
@@ -229,7 +231,9 @@
         self._held = held
         self.asked_at: list[float] = []
 
-    async def call(self, url: str, body: bytes, shape: Any, read_seconds: float | None = None):
+    async def call(
+        self, url: str, body: bytes, answer_type: Any, read_seconds: float | None = None
+    ):
         decode(WatchRequest, body)
         if self.asked_at:
             await anyio.sleep_forever()
@@ -268,11 +272,11 @@
             presence = site.get(site.seeds[0]).presence
             await anyio.sleep(2 * SHARE_SECONDS)
             clock.suspend(5.0)
-            await presence.hear(Sighting(make_instance(1), 0.0))
+            await presence.handle_heartbeat(Sighting(make_instance(1), 0.0))
             self.assertGreaterEqual(presence.fleet.get_age("i1", anyio.current_time()), 5.0)
             await anyio.sleep(2 * LOOP_STALL_SECONDS)
             fresh = replace(make_instance(1), sequence=2)
-            await presence.hear(Sighting(fresh, 0.0))
+            await presence.handle_heartbeat(Sighting(fresh, 0.0))
             self.assertLess(presence.fleet.get_age("i1", anyio.current_time()), 1.0)
 
         run_beside(main)
@@ -284,9 +288,9 @@
             presence = site.get(site.seeds[0]).presence
             await anyio.sleep(2 * SHARE_SECONDS)
             ended = Suspicion("f", "org", "h/x", ("i1",), (), 0.0)
-            presence.take_share(ShareRequest(site.seeds[1], suspicions=(ended,)))
+            presence.merge_share(ShareRequest(site.seeds[1], suspicions=(ended,)))
             clock.suspend(5.0)
-            await presence.hear(Sighting(make_instance(1), 0.0))
+            await presence.handle_heartbeat(Sighting(make_instance(1), 0.0))
             await anyio.sleep(2 * SHARE_SECONDS)
             known = presence.suspects.get("f", anyio.current_time())
             assert known is not None
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -6,13 +6,13 @@
 from daleroad.catalog import Change, Put
 from daleroad.codec import decode, encode
 from daleroad.errors import Failure
-from daleroad.group import decode_messages, encode_messages
 from daleroad.logtypes import (
     AppendRequest,
     EntryKind,
     LogEntry,
     Member,
 )
+from daleroad.raftnode import decode_messages, encode_messages
 from daleroad.records import Share
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -82,7 +82,7 @@
         self.disks_at_start[name] = disk
         self.running[name] = Replica(name, NAMES, disk, self.now, Random(self.random.random()))
         self.applied[name] = disk.snapshot.index
-        self.execute(name, self.running[name].take(), faulty=False)
+        self.execute(name, self.running[name].take_effects(), faulty=False)
 
     def crash(self, name: str) -> None:
         self.running.pop(name, None)
@@ -162,7 +162,7 @@
                 self.proposed += 1
                 indexes = replica.propose([f"change-{self.proposed}"], self.now)
                 if not isinstance(indexes, Failure):
-                    self.execute(name, replica.take(), False)
+                    self.execute(name, replica.take_effects(), False)
 
     def compact(self) -> None:
         for name, replica in list(self.running.items()):
@@ -199,7 +199,7 @@
     def are_all_voters(self) -> bool:
         """Return whether all members run and know a membership of all current incarnations."""
         own = {Member(n, self.disks[n].incarnation) for n in NAMES}
-        known = [r.get_settled_members() for r in self.running.values()]
+        known = [r.get_stable_members() for r in self.running.values()]
         return len(known) == len(NAMES) and all(set(members) == own for members in known)
 
 
@@ -235,7 +235,7 @@
             self.inject_faults(cluster, damage_disk)
         leader = cluster.recover()
         last = max(cluster.committed, default=0)
-        self.assertGreaterEqual(leader.commit, last)
+        self.assertGreaterEqual(leader.commit_index, last)
         for entry in leader.log:
             if entry.index in cluster.committed:
                 self.assertEqual(cluster.committed[entry.index], entry)
@@ -308,7 +308,7 @@
                     cluster.step(faulty=False)
                 successor = cluster.get_leader()
                 self.assertIsNotNone(successor)
-                self.assertGreaterEqual(successor.commit, before)
+                self.assertGreaterEqual(successor.commit_index, before)
 
     def test_wiped_members_cannot_elect_a_leader_before_they_are_readmitted(self) -> None:
         cluster = make_cluster(3)
@@ -339,7 +339,7 @@
         cluster.start(leader.name)
         for _ in range(400):
             cluster.step(faulty=False)
-        self.assertGreaterEqual(cluster.get_leader().commit, max(cluster.committed))
+        self.assertGreaterEqual(cluster.get_leader().commit_index, max(cluster.committed))
 
     def test_a_rolled_back_disk_is_readmitted_with_a_new_incarnation(self) -> None:
         cluster = make_cluster(11)
@@ -357,7 +357,7 @@
         cluster.start(leader.name)
         for _ in range(600):
             cluster.step(faulty=False)
-        self.assertGreaterEqual(cluster.get_leader().commit, max(cluster.committed))
+        self.assertGreaterEqual(cluster.get_leader().commit_index, max(cluster.committed))
         self.assertTrue(cluster.are_all_voters())
 
     def test_an_isolated_leader_loses_its_lease_and_rejoins_without_an_election(self) -> None:
@@ -375,7 +375,7 @@
         for _ in range(200):
             cluster.step(faulty=False)
         self.assertEqual(cluster.get_leader().term, term)
-        self.assertEqual(cluster.running[old.name].commit, successor.commit)
+        self.assertEqual(cluster.running[old.name].commit_index, successor.commit_index)
 
     def test_a_lagging_member_is_sent_a_snapshot(self) -> None:
         cluster = make_cluster(7)
@@ -387,7 +387,7 @@
         cluster.start(victim)
         for _ in range(100):
             cluster.step(faulty=False)
-        self.assertEqual(cluster.running[victim].commit, leader.commit)
+        self.assertEqual(cluster.running[victim].commit_index, leader.commit_index)
         self.assertGreater(cluster.running[victim].snapshot.index, 1)
 
     def test_a_second_membership_change_is_refused_while_one_is_uncommitted(self) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from daleroad.control import found
+from daleroad.control import initialise_data_folder
 from daleroad.daleroad_pb import ChangeAnswer
 from daleroad.errors import Failure
 from daleroad.loopback import Site
@@ -238,7 +238,7 @@
 
     def test_initialising_a_data_folder_in_use_is_rejected(self) -> None:
         with self.assertRaises(Exception) as caught:
-            found(self.site.control[0])
+            initialise_data_folder(self.site.control[0])
         self.assertIn("in use", str(caught.exception))
 
 
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -17,9 +17,9 @@
 from daleroad.codec import encode
 from daleroad.coordinator import Coordinator, CoordinatorOptions
 from daleroad.defaults import (
-    FLEET_KEPT_SECONDS,
-    LOOKUP_CHANGING_SECONDS,
-    LOOKUP_KEPT_SECONDS,
+    LOOKUP_DRAIN_TTL_SECONDS,
+    LOOKUP_TTL_SECONDS,
+    PERSIST_INTERVAL_SECONDS,
 )
 from daleroad.errors import Failure, FailureKind
 from daleroad.fleetfile import RECOVERED_HEARTBEATS
@@ -117,7 +117,7 @@
         return self.running[name][0]
 
     def get_leader(self) -> Coordinator | None:
-        leaders = [c for c, _, _ in self.running.values() if c.is_leading()]
+        leaders = [c for c, _, _ in self.running.values() if c.get_leading_gauge()]
         return leaders[0] if leaders else None
 
 
@@ -193,8 +193,8 @@
 
     def test_single_restarted_coordinator_recovers_upstreams_as_overdue(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
-            await site.get(names[0]).presence.hear(Sighting(INSTANCE, 0.0))
-            await anyio.sleep(2 * FLEET_KEPT_SECONDS)
+            await site.get(names[0]).presence.handle_heartbeat(Sighting(INSTANCE, 0.0))
+            await anyio.sleep(2 * PERSIST_INTERVAL_SECONDS)
             for name in names[:3]:
                 await site.kill(name)
             restarted = await site.start(names[0], founding=False)
@@ -210,7 +210,7 @@
             await site.kill(names[1])
             await site.kill(names[2])
             remaining = site.get(names[0])
-            await wait_for(lambda: not remaining.is_leading())
+            await wait_for(lambda: not remaining.get_leading_gauge())
             self.assertIsInstance(await remaining.log.read(), Failure)
             self.assertIsInstance(await remaining.log.save(make_document(2)), Failure)
 
@@ -229,7 +229,7 @@
                     {names[3]} <= {m.name for m in members}
                     and stopped not in {m.name for m in members}
                     for c, _, _ in site.running.values()
-                    if (members := c.group.replica.get_settled_members()) is not None
+                    if (members := c.group.replica.get_stable_members()) is not None
                 )
 
             await wait_for(is_replaced)
@@ -263,7 +263,7 @@
                 while True:
                     first.handle_watch(message)
                     instance = replace(INSTANCE, sequence=int(10 * anyio.current_time()))
-                    await first.hear(Sighting(instance, 0.0))
+                    await first.handle_heartbeat(Sighting(instance, 0.0))
                     await anyio.sleep(0.1)
 
             site.tasks.start_soon(send_heartbeats)
@@ -280,9 +280,9 @@
             first, second = site.get(names[0]), site.get(names[1])
             await wait_for(lambda: len(first.list_coordinators()) == 3)
             instance = Instance("i", "s", "1:1", "z", 4, InstanceState.READY, 1)
-            self.assertIsNone(await first.presence.hear(Sighting(instance, 0.0)))
+            self.assertIsNone(await first.presence.handle_heartbeat(Sighting(instance, 0.0)))
             await wait_for(lambda: second.presence.fleet.get("i"))
-            self.assertIsNone(await first.presence.part("i"))
+            self.assertIsNone(await first.presence.handle_departure("i"))
             others = [site.get(name).presence.fleet.get("i") for name in names[1:3]]
             states = [found.state for found in others if found]
             self.assertIn(InstanceState.GONE, states)
@@ -298,7 +298,7 @@
             )
             await site.kill(names[1])
             await site.kill(names[2])
-            failure = await first.presence.part("i")
+            failure = await first.presence.handle_departure("i")
             self.assertIsInstance(failure, Failure)
 
         run_site(body)
@@ -319,9 +319,9 @@
             async def add_two_instances() -> None:
                 for name in ("i-2", "i-3"):
                     await anyio.sleep(GATHER_SECONDS / 3)
-                    await presence.hear(Sighting(replace(INSTANCE, id=name), 0.0))
+                    await presence.handle_heartbeat(Sighting(replace(INSTANCE, id=name), 0.0))
 
-            await presence.hear(Sighting(INSTANCE, 0.0))
+            await presence.handle_heartbeat(Sighting(INSTANCE, 0.0))
             first = await watch("", 0, True)
             self.assertEqual([s.instance.id for s in first.sightings], ["i-1"])
             self.assertEqual(first.loads, ())
@@ -351,7 +351,7 @@
                 return await calls.call(f"http://{name}/site/place", encode(message), PlaceAnswer)
 
             # Another coordinator reports a gateway whose load the leader doesn't know.
-            leader.presence.take_share(ShareRequest(others[0], (notice,), ()))
+            leader.presence.merge_share(ShareRequest(others[0], (notice,), ()))
             self.assertIsInstance(await place(leader.options.name), Failure)
             leader.presence.loads.set_report(notice.address, (), anyio.current_time())
             self.assertEqual(await place(leader.options.name), PlaceAnswer(INSTANCE.id))
@@ -371,26 +371,26 @@
             await wait_for(lambda: gateway.get_version() == 4)
             await wait_for(lambda: all(site.get(n).presence.list_gateways("z") for n in names[:3]))
             instance = Instance("i", "s", "1:1", "z", 4, InstanceState.READY, 1)
-            await site.get(names[1]).presence.hear(Sighting(instance, 0.0))
+            await site.get(names[1]).presence.handle_heartbeat(Sighting(instance, 0.0))
             await wait_for(lambda: gateway.fleet.list_ready("s"))
-            await site.get(names[2]).presence.part("i")
+            await site.get(names[2]).presence.handle_departure("i")
             await wait_for(lambda: not gateway.fleet.list_ready("s"))
             # No other gateway accepts clients until one registers.
             await wait_for(lambda: gateway.other_gateways == 0)
             other = Gateway(replace(options, address="10.0.0.2:80"), FakeDispatcher(), Random())
             site.tasks.start_soon(Watcher(other, ChannelCalls("secret"), parse).run)
             await wait_for(lambda: gateway.other_gateways == 1)
-            lookup_getters = [site.get(n).presence.find_lookup_life for n in names[:3]]
-            self.assertEqual({getter() for getter in lookup_getters}, {LOOKUP_KEPT_SECONDS})
+            lookup_getters = [site.get(n).presence.get_lookup_ttl_seconds for n in names[:3]]
+            self.assertEqual({getter() for getter in lookup_getters}, {LOOKUP_TTL_SECONDS})
             other.serving = False
             await wait_for(lambda: gateway.other_gateways == 0)
             # While a gateway drains, clients cache lookups for a shorter time, so that those which
             # it refuses don't turn to one that drains next.
             await wait_for(
-                lambda: {getter() for getter in lookup_getters} == {LOOKUP_CHANGING_SECONDS}
+                lambda: {getter() for getter in lookup_getters} == {LOOKUP_DRAIN_TTL_SECONDS}
             )
             gateway.serving = False
-            watcher.tell_now()
+            watcher.send_report_now()
             await wait_for(
                 lambda: not any(site.get(n).presence.list_gateways("z") for n in names[:3])
             )
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -28,7 +28,7 @@
 from daleroad.defaults import (  # noqa: E402
     GATEWAY_RESTART_SECONDS,
     LAST_ANSWER_SECONDS,
-    LOOKUP_KEPT_SECONDS,
+    LOOKUP_TTL_SECONDS,
 )
 from daleroad.dispatch import Lost, NotRun, Prompt  # noqa: E402
 from daleroad.draining import estimate_duration, find_retry_after, should_accept  # noqa: E402
@@ -285,7 +285,7 @@
 
     def test_retry_after_depends_on_the_other_gateways(self) -> None:
         self.assertEqual(find_retry_after(7.0, others=6, gateways=12), 0.0)
-        self.assertEqual(find_retry_after(7.0, others=5, gateways=12), LOOKUP_KEPT_SECONDS)
+        self.assertEqual(find_retry_after(7.0, others=5, gateways=12), LOOKUP_TTL_SECONDS)
         self.assertEqual(
             find_retry_after(7.0, others=0, gateways=12), 7.0 + GATEWAY_RESTART_SECONDS
         )
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -33,7 +33,7 @@
 from daleroad.notices import PlaceAnswer, PlaceRequest
 from daleroad.placer import Placer
 from daleroad.routing import Repeat, ServiceRule
-from daleroad.siterecord import Document, SiteRecord
+from daleroad.sitestate import Document, SiteStateMachine
 from tests.fakes import (
     ENGINE,
     PROMPT,
@@ -91,7 +91,7 @@
 
 class SiteRecordTest(unittest.TestCase):
     def test_a_dumped_state_contains_the_zones_and_the_configuration(self) -> None:
-        record, fresh = SiteRecord(), SiteRecord()
+        record, fresh = SiteStateMachine(), SiteStateMachine()
         record.apply_payload(1, encode(Document(5, "text")).decode())
         record.apply_payload(2, encode(ZoneOrder("a", True, 7.0, "c:1")).decode())
         fresh.load(record.dump())
@@ -99,12 +99,12 @@
         self.assertEqual(fresh.evacuations, record.evacuations)
 
     def test_a_state_without_zones_from_an_earlier_version_is_loaded(self) -> None:
-        record = SiteRecord()
+        record = SiteStateMachine()
         record.load('{"version":5,"text":"text"}')
         self.assertEqual((record.document, record.zones.zones), (Document(5, "text"), ()))
 
     def test_loading_an_older_state_keeps_newer_zones(self) -> None:
-        record = SiteRecord()
+        record = SiteStateMachine()
         older = record.dump()
         record.apply_payload(4, encode(ZoneOrder("a", True)).decode())
         record.load(older)
@@ -123,7 +123,7 @@
         run_site(main, count)
 
     async def order(self, site: Site, name: str, zone: str, evacuated: bool) -> EvacuatedZones:
-        answer = await site.get(name).log.order_zone(zone, evacuated)
+        answer = await site.get(name).log.set_zone_evacuated(zone, evacuated)
         assert isinstance(answer, EvacuatedZones), answer
         return answer
 
@@ -134,7 +134,7 @@
         """
         while True:
             sent = anyio.current_time()
-            answer = await site.get(name).log.order_zone(zone, True)
+            answer = await site.get(name).log.set_zone_evacuated(zone, True)
             if isinstance(answer, EvacuatedZones):
                 return sent
             self.assertIs(answer.kind, FailureKind.NO_MAJORITY)
@@ -161,7 +161,7 @@
     def test_a_zone_that_no_settings_know_is_refused(self) -> None:
         async def body(site: Site, names: list[str]) -> None:
             for zone in ("z", "", "a" * 10_000):
-                answer = await site.get(names[0]).log.order_zone(zone, True)
+                answer = await site.get(names[0]).log.set_zone_evacuated(zone, True)
                 assert isinstance(answer, Failure)
                 self.assertIs(answer.kind, FailureKind.INVALID)
 
@@ -171,7 +171,7 @@
         async def body(site: Site, names: list[str]) -> None:
             await site.kill(names[1])
             await site.kill(names[2])
-            answer = await site.get(names[0]).log.order_zone("a", True)
+            answer = await site.get(names[0]).log.set_zone_evacuated("a", True)
             self.assertIsInstance(answer, Failure)
 
         self.run_on_site(body)
@@ -196,7 +196,7 @@
             leader = site.get_leader()
             assert leader is not None
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(leader.log.order_zone, "a", True)
+                tasks.start_soon(leader.log.set_zone_evacuated, "a", True)
                 await anyio.sleep(0)
                 tasks.cancel_scope.cancel()
             await site.kill(leader.options.name)
@@ -299,7 +299,7 @@
 
 def knows_committed_member(coordinator: Coordinator, name: str) -> bool:
     """Return whether a coordinator knows that another one is a member by a committed change."""
-    members = coordinator.group.replica.get_settled_members()
+    members = coordinator.group.replica.get_stable_members()
     return name in {member.name for member in members}
 
 
--- a/tests/test_fleetfile.py
+++ b/tests/test_fleetfile.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 from unittest import mock
 
+from daleroad.atomicfile import replace_file
 from daleroad.defaults import LATE_HEARTBEATS, OVERDUE_HEARTBEATS
 from daleroad.errors import Failure
 from daleroad.fleet import Fleet
 from daleroad.fleetfile import RECOVERED_HEARTBEATS, dump_fleet, load_fleet
 from daleroad.instances import Instance, InstanceState, Sighting
-from daleroad.keptfile import replace_file
 
 ASSUMED_AGE = 2.5
 READY = Instance("i", "s", "1:1", "z", 4, InstanceState.READY, 5)
--- a/tests/test_heldrequests.py
+++ b/tests/test_heldrequests.py
@@ -18,7 +18,7 @@
 from daleroad.channels import ChannelCalls
 from daleroad.codec import encode
 from daleroad.commandcalls import SECRET_VARIABLE
-from daleroad.defaults import FLEET_KEPT_SECONDS
+from daleroad.defaults import PERSIST_INTERVAL_SECONDS
 from daleroad.dispatch import Attempt, ClientRequest
 from daleroad.errors import Failure, FailureKind
 from daleroad.gateway import Gateway
@@ -67,7 +67,7 @@
         options = GatewayOptions(address, "z", "r", self.site.seeds, 1.0, 0.2, 30, 10.0)
         gateway = Gateway(options, FakeDispatcher(), Random(number))
         watcher = Watcher(gateway, ChannelCalls("secret"), parse)
-        gateway.on_update = watcher.tell_now
+        gateway.on_update = watcher.send_report_now
         scope = anyio.CancelScope()
 
         async def run() -> None:
@@ -160,7 +160,7 @@
     def test_hold_survives_a_restart_of_all_processes(self) -> None:
         async def body(sites: WatchedSite, names: list[str]) -> None:
             await self.hold_request(sites, sites.add(3))
-            await anyio.sleep(3 * FLEET_KEPT_SECONDS)
+            await anyio.sleep(3 * PERSIST_INTERVAL_SECONDS)
             sites.end_all()
             for name in names[:3]:
                 await sites.site.kill(name)
@@ -197,7 +197,7 @@
                 while True:
                     sequence += 1
                     alive = replace(make_instance(2), sequence=sequence)
-                    await sites.site.get(names[0]).presence.hear(Sighting(alive, 0.0))
+                    await sites.site.get(names[0]).presence.handle_heartbeat(Sighting(alive, 0.0))
                     await anyio.sleep(0.3)
 
             sites.site.tasks.start_soon(send_heartbeats)
@@ -249,7 +249,7 @@
             leader = sites.site.get_leader()
             assert leader is not None
             calls = ChannelCalls("secret")
-            (name,) = leader.presence.shared.list_all().held
+            (name,) = leader.presence.shared_suspects.list_all().held
 
             async def request_trial(address: str, fingerprint: str) -> TrialAnswer | Failure:
                 request = encode(TrialRequest(fingerprint))
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -11,7 +11,7 @@
 from daleroad.documents import MAX_KEPT_VERSIONS, DocumentHistory
 from daleroad.errors import Failure
 from daleroad.patches import Patch, apply_patch, make_patch
-from daleroad.siterecord import Document
+from daleroad.sitestate import Document
 
 
 def make_text(random: Random, routes: int) -> str:
@@ -58,22 +58,22 @@
         self.history = DocumentHistory()
         self.texts = {version: make_text(Random(7), 30 + version) for version in range(1, 12)}
         for version, text in self.texts.items():
-            self.history.note(Document(version, text))
+            self.history.add(Document(version, text))
         self.newest = Document(11, self.texts[11])
 
     def test_a_follower_with_a_kept_version_gets_a_patch(self) -> None:
         for version in range(12 - MAX_KEPT_VERSIONS, 11):
-            update = self.history.tell(self.newest, version, False)
+            update = self.history.make_update(self.newest, version, False)
             assert update.patch is not None
             self.assertIsNone(update.document)
             self.assertEqual(apply_patch(self.texts[version], update.patch), self.newest.text)
 
     def test_a_follower_without_a_kept_version_or_on_request_gets_the_full_text(self) -> None:
         for version, whole in ((0, False), (11 - MAX_KEPT_VERSIONS, False), (10, True)):
-            update = self.history.tell(self.newest, version, whole)
+            update = self.history.make_update(self.newest, version, whole)
             self.assertEqual((update.document, update.patch), (self.newest.text, None))
 
     def test_a_follower_that_is_up_to_date_gets_nothing(self) -> None:
         for version in (11, 12):
-            update = self.history.tell(self.newest, version, True)
+            update = self.history.make_update(self.newest, version, True)
             self.assertEqual((update.document, update.patch), (None, None))
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -74,7 +74,7 @@
         self.sent: list[tuple[str, bytes]] = []
 
     async def call(
-        self, url: str, body: bytes, shape: Any, read_seconds: float | None = None
+        self, url: str, body: bytes, answer_type: Any, read_seconds: float | None = None
     ) -> Any:
         self.sent.append((url, body))
         return await self.answer()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -355,7 +355,7 @@
         self.orders: list[tuple[str, bool]] = []
         self.refusal = refusal
 
-    async def order_zone(self, zone: str, evacuated: bool) -> EvacuatedZones | Failure:
+    async def set_zone_evacuated(self, zone: str, evacuated: bool) -> EvacuatedZones | Failure:
         self.orders.append((zone, evacuated))
         return self.refusal or EvacuatedZones(1, (zone,) if evacuated else ())
 
@@ -682,13 +682,13 @@
         node = read_node(NODE)
         self.assertEqual(node.seeds, ("10.0.0.1:7200", "10.0.0.2:7200"))
         self.assertEqual((node.heartbeat, node.retry_slack, node.revoke), (1.2, 64.0, 4.0))
-        self.assertTrue(coordinatorprocess.make_options(node).founding)
+        self.assertTrue(coordinatorprocess.make_options(node).is_new_site)
         self.assertEqual(gatewayprocess.make_options(node).coordinator_timeout, 4.0)
 
     def test_vm_outside_the_tolerance_does_not_vote(self) -> None:
-        self.assertEqual(coordinatorprocess.make_options(read_node(NODE)).data, "/data/x")
+        self.assertEqual(coordinatorprocess.make_options(read_node(NODE)).data_dir, "/data/x")
         spare = read_node({**NODE, "in_tolerance": False})
-        self.assertEqual(coordinatorprocess.make_options(spare).data, "")
+        self.assertEqual(coordinatorprocess.make_options(spare).data_dir, "")
 
     def test_role_imports_only_what_it_needs(self) -> None:
         for module, others in (
--- a/tests/test_standings.py
+++ b/tests/test_rollback.py
@@ -5,14 +5,14 @@
 
 from daleroad.defaults import MARK_ENTRIES
 from daleroad.logtypes import Durable, Run, Standing
-from daleroad.standings import Standings
+from daleroad.rollback import RollbackDetector
 
 OLDER = Standing("x", (Run("r", 1),))
 NEWER = Standing("x", (Run("r", 5),))
 
 
-def start(durable: Durable | None = None, last_index: int = 0, seed: int = 1) -> Standings:
-    return Standings(durable or Durable("own"), last_index, Random(seed))
+def start(durable: Durable | None = None, last_index: int = 0, seed: int = 1) -> RollbackDetector:
+    return RollbackDetector(durable or Durable("own"), last_index, Random(seed))
 
 
 class StandingsTest(unittest.TestCase):
--- a/tests/test_shutdowndeadline.py
+++ b/tests/test_shutdowndeadline.py
@@ -117,7 +117,7 @@
         route = Route("r", "p", "s", (Split("m", 1.0),), repeatable=True)
         catalog.store(2, "Route", "r", route)
         upstream = Upstream("u", "http://127.0.0.1:1", "s", "z", 1000, 8, ("m",))
-        catalog.follow(3, SetUpstream(upstream))
+        catalog.apply_accepted(3, SetUpstream(upstream))
         self.steward = FakeStewardship(before_grant)
         limits = OrganisationLimits(self.env)
         self.generations = GenerationHandler(self.env, self.steward, limits, RequestHolds(self.env))
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -15,7 +15,7 @@
 
 from daleroad.codec import encode
 from daleroad.errors import Ran
-from daleroad.leader import LeaderClient
+from daleroad.leaderclient import LeaderClient
 from daleroad.loopback import OPERATOR_TOKENS, STOYANOV, Site, find_ports, get_token, make_site
 from daleroad.records import Organisation
 from daleroad.security import hash_token
@@ -462,7 +462,7 @@
     def __init__(self) -> None:
         self.called_urls: list[str] = []
 
-    async def call(self, url: str, body: bytes, shape: type, limit: float) -> object:
+    async def call(self, url: str, body: bytes, answer_type: type, limit: float) -> object:
         self.called_urls.append(url)
         return "answer" if len(self.called_urls) > 1 else make_shutdown_failure(Ran.UNKNOWN)
 
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -50,7 +50,7 @@
         random = Random(member.name)
         self.replicas[member.name] = Replica(member.name, (), durable, self.now, random)
         self.committed[member.name] = []
-        self.execute(member.name, self.replicas[member.name].take())
+        self.execute(member.name, self.replicas[member.name].take_effects())
 
     def execute(self, name: str, effects: list) -> None:
         for effect in effects:
@@ -73,7 +73,7 @@
     def propose(self, payload: str) -> None:
         leader = self.get_leader()
         assert not isinstance(leader.propose([payload], self.now), Failure)
-        self.execute(leader.name, leader.take())
+        self.execute(leader.name, leader.take_effects())
         self.run(1.0)
 
 
@@ -91,7 +91,7 @@
         self.assertIn(new, leader.list_caught_up())
         outcome = leader.propose_members(members, self.group.now)
         self.assertNotIsInstance(outcome, Failure)
-        self.group.execute(leader.name, leader.take())
+        self.group.execute(leader.name, leader.take_effects())
         self.group.run(1.0)
 
     def test_a_learner_receives_the_log_without_a_vote(self) -> None:
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -8,10 +8,10 @@
 import trio.testing
 
 from daleroad.defaults import (
-    GATEWAY_SILENT_SECONDS,
-    LEADER_AGAIN_SECONDS,
+    GATEWAY_TIMEOUT_SECONDS,
+    LEADER_RETRY_SECONDS,
+    MIN_LOAD_EXCHANGE_SECONDS,
     WATCH_FAST_GATEWAYS,
-    WATCH_FAST_SECONDS,
     WATCH_SLOW_SECONDS,
 )
 from daleroad.errors import Failure, FailureKind
@@ -27,16 +27,16 @@
 class LoadExchangeIntervalTest(unittest.TestCase):
     def test_few_gateways_use_the_shortest_interval(self) -> None:
         for gateways in (1, 12, WATCH_FAST_GATEWAYS):
-            self.assertEqual(find_load_exchange_seconds(gateways), WATCH_FAST_SECONDS)
+            self.assertEqual(find_load_exchange_seconds(gateways), MIN_LOAD_EXCHANGE_SECONDS)
 
     def test_total_rate_is_bounded_until_the_longest_interval(self) -> None:
-        max_rate = WATCH_FAST_GATEWAYS / WATCH_FAST_SECONDS
+        max_rate = WATCH_FAST_GATEWAYS / MIN_LOAD_EXCHANGE_SECONDS
         for gateways in (25, 67, 90):
             self.assertLessEqual(gateways / find_load_exchange_seconds(gateways), max_rate + 1e-9)
         self.assertEqual(find_load_exchange_seconds(1000), WATCH_SLOW_SECONDS)
 
     def test_longest_interval_is_below_the_gateway_timeout(self) -> None:
-        self.assertLess(find_load_exchange_seconds(1000), GATEWAY_SILENT_SECONDS)
+        self.assertLess(find_load_exchange_seconds(1000), GATEWAY_TIMEOUT_SECONDS)
 
 
 class FakeCoordinators:
@@ -52,7 +52,7 @@
         self.called: list[str] = []
 
     async def call(
-        self, url: str, body: bytes, shape: Any, read_seconds: float | None = None
+        self, url: str, body: bytes, answer_type: Any, read_seconds: float | None = None
     ) -> Any:
         name = url.split("/")[2]
         self.called.append(name)
@@ -86,10 +86,10 @@
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def test_leader_is_watched_again_after_a_failure(self) -> None:
-        leader, _ = self.watch(1.0, 1.0 + LEADER_AGAIN_SECONDS + 2.0)
+        leader, _ = self.watch(1.0, 1.0 + LEADER_RETRY_SECONDS + 2.0)
         self.assertEqual(leader, LEADER)
 
     def test_unreachable_leader_is_retried_rarely(self) -> None:
         leader, calls = self.watch(1000.0, 20.0)
         self.assertIsNone(leader)
-        self.assertLessEqual(calls.called.count(LEADER), 20.0 / LEADER_AGAIN_SECONDS + 1)
+        self.assertLessEqual(calls.called.count(LEADER), 20.0 / LEADER_RETRY_SECONDS + 1)
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -24,7 +24,7 @@
 from daleroad.claimjournal import Acquire, Claim, ClaimJournal, ClaimState, Settle
 from daleroad.codec import decode, encode
 from daleroad.compression import pack
-from daleroad.control import found
+from daleroad.control import initialise_data_folder
 from daleroad.demo import write_records
 from daleroad.directory import Directory
 from daleroad.enginemodel import EngineParameters
@@ -224,13 +224,13 @@
 
 def measure_followers(count: int) -> dict:
     """Run follower cores in this process against three real control processes."""
-    from daleroad.follower import Follower
+    from daleroad.catalogfollower import CatalogFollower
 
     folder = tempfile.TemporaryDirectory(prefix="daleroad-measure-")
     site = replace(make_site(folder.name, 1, 0), engines=(), plain=())
     processes = Processes(site, folder.name)
     for settings in site.control:
-        found(settings)
+        initialise_data_folder(settings)
         processes.start(settings)
     times: list[float] = []
     try:
@@ -249,7 +249,7 @@
 
             links.short.event_hooks = {"response": [count_bytes]}
             followers = [
-                Follower(
+                CatalogFollower(
                     replace(site.entries[0], name=f"f{i}", address=f"127.0.0.1:{20000 + i}"),
                     links,
                     Catalog(),
@@ -358,7 +358,7 @@
             directory.refresh()
 
         def rejoin() -> None:
-            catalog.placed += 1
+            catalog.upstreams_revision += 1
             directory.refresh()
             directory.list_upstreams("s1", "m1")
 
@@ -417,7 +417,7 @@
     rows = []
     code = (
         "import sys;sys.path.insert(0,'.');from tools.measure import *;import time;"
-        "c=make_catalog({0},{1},{2});t=c.dump(whole=False);del c;import gc;gc.collect();"
+        "c=make_catalog({0},{1},{2});t=c.dump(include_history=False);del c;import gc;gc.collect();"
         "m=get_memory(os.getpid());d=Catalog();b=time.process_time();d.load(t);"
         "print(json.dumps([len(t),round(time.process_time()-b,3),get_memory(os.getpid())-m]))"
     )
@@ -471,7 +471,7 @@
             site = replace(make_site(folder, 1, 0), engines=(), plain=())
             processes = Processes(site, folder)
             for settings in site.control:
-                found(settings)
+                initialise_data_folder(settings)
                 processes.start(settings)
             write_records(site)
             urls = [s.url for s in site.control]
@@ -511,7 +511,7 @@
             site = replace(make_site(folder, 1, 0), engines=(), plain=())
             processes = Processes(site, folder)
             for settings in site.control:
-                found(settings)
+                initialise_data_folder(settings)
                 processes.start(settings)
             write_records(site)
             leader = next(s for s in site.control if get_json(f"{s.url}/status")["leading"])
