--- a/src/daleroad/caller.py
+++ b/src/daleroad/caller.py
@@ -13,11 +13,11 @@
 
 from daleroad.calls import parse_problem
 from daleroad.daleroad_pb import LocateAnswer, LocateRequest
+from daleroad.delivery import FrameAction, TokenSequence, parse_frames, split_events
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.links import make_client
 from daleroad.retries import get_backoff
 from daleroad.settings import Tls
-from daleroad.tokensequence import FrameAction, TokenSequence, parse_frames, split_events
 
 _LOCATE = "/daleroad.v1.Locator/Locate"
 _TRIES = 12
--- a/src/daleroad/candidates.py
+++ b/src/daleroad/candidates.py
@@ -10,8 +10,8 @@
 from daleroad.defaults import LATE_HEARTBEATS, OVERDUE_HEARTBEATS
 from daleroad.fleet import Fleet
 from daleroad.notices import Load
+from daleroad.picking import Candidate, estimate_load
 from daleroad.routing import ServiceRule
-from daleroad.scoring import Candidate, estimate_load
 
 
 @dataclass(frozen=True)
--- a/src/daleroad/selection.py
+++ b/src/daleroad/choosing.py
@@ -9,16 +9,16 @@
 from daleroad.candidates import CandidateEvaluator
 from daleroad.defaults import MAX_BACKUP_LOAD, MIN_BACKUP_SECONDS
 from daleroad.dispatch import Attempt, Prompt
-from daleroad.dispatchguard import Guard
 from daleroad.fleet import Fleet
-from daleroad.grantclient import GrantClient, list_limit_notices
+from daleroad.guarding import Guard
 from daleroad.health import Ejector
 from daleroad.instances import Instance
+from daleroad.limitedsends import GrantClient, list_limit_notices
 from daleroad.loads import GatewayLoads
 from daleroad.notices import PlaceAnswer, PlaceRequest
+from daleroad.picking import Candidate, make_preference_order, pick_upstream, sample_candidates
 from daleroad.routing import ServiceRule
-from daleroad.scoring import Candidate, make_preference_order, pick_upstream, sample_candidates
-from daleroad.unreachable import UnreachableUpstreams
+from daleroad.unreached import UnreachableUpstreams
 
 PlacementCall = Callable[[PlaceRequest], Awaitable[PlaceAnswer | None]]
 """Asks the placer, which runs in another process, for an upstream; returns nothing if there is no
--- a/src/daleroad/cli.py
+++ b/src/daleroad/cli.py
@@ -30,13 +30,13 @@
 from daleroad.evacuationcommands import EvacuationCommands
 from daleroad.events import Event, log_event
 from daleroad.explain import explain, parse_lines
-from daleroad.memorymodel import CASES as ROOM_CASES
-from daleroad.memorymodel import format_cases as format_room_cases
 from daleroad.operating import OperatorClient
-from daleroad.placementmodel import CASES, format_cases
+from daleroad.placing import CASES, format_cases
 from daleroad.plain import PlainOptions, PlainService
 from daleroad.process import move_damaged, run_process, serve
 from daleroad.report import format_rows, make_rows, write_json, write_plot
+from daleroad.roommodel import CASES as ROOM_CASES
+from daleroad.roommodel import format_cases as format_room_cases
 from daleroad.security import hash_token
 from daleroad.settings import load_settings, parse_settings
 from daleroad.suspectcommands import SuspectCommands
--- a/src/daleroad/coldmodel.py
+++ b/src/daleroad/coldmodel.py
@@ -1,7 +1,7 @@
 """Simulates requests of many gateways to cold upstreams, in virtual time.
 
 Compares ways to enforce a limit on each cold upstream: none, a share of the limit for each gateway,
-and grants of one process (``grantlimits``). Reports the most requests that any upstream got in a
+and grants of one process (``sendlimits``). Reports the most requests that any upstream got in a
 second, relative to the limit, and the share of requests that no upstream could take.
 """
 
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from random import Random
 
-from daleroad.grantlimits import ColdRule, GrantLimiter
+from daleroad.sendlimits import ColdRule, GrantLimiter
 
 RULE = ColdRule(1.5, 5.0)
 """The rule of a deployment that limits cold upstreams."""
--- a/src/daleroad/control.py
+++ b/src/daleroad/control.py
@@ -20,7 +20,7 @@
     SetEntry,
     SetUpstream,
 )
-from daleroad.catalogmachine import CatalogMachine
+from daleroad.catalogstate import CatalogMachine
 from daleroad.claimjournal import ClaimCommand, ClaimJournal, ClaimOutcome, Look
 from daleroad.codec import decode, encode
 from daleroad.daleroad_connect import LocatorASGIApplication, OperatorsASGIApplication
--- a/src/daleroad/coordinator.py
+++ b/src/daleroad/coordinator.py
@@ -33,7 +33,6 @@
 from daleroad.evacuations import ZoneOrder
 from daleroad.events import Event, log_event
 from daleroad.fleetfile import FleetKeeper
-from daleroad.grantlimits import ColdRule, GrantLimiter
 from daleroad.logtypes import Member
 from daleroad.notices import (
     EvacuateRequest,
@@ -57,6 +56,7 @@
 from daleroad.raftnode import RaftNode, decode_messages
 from daleroad.routing import ServiceRule
 from daleroad.security import check_peer
+from daleroad.sendlimits import ColdRule, GrantLimiter
 from daleroad.serving import Answer, Request, Response, Router
 from daleroad.siteclient import ConfigParser, SiteClient
 from daleroad.sitestate import SiteStateMachine
--- a/src/daleroad/dispatch.py
+++ b/src/daleroad/dispatch.py
@@ -2,7 +2,7 @@
 
 A client for upstreams implements :class:`Dispatcher`. It only carries out what the gateway has
 decided: which instance gets a request, with which deadline and which priority.
-:class:`~daleroad.dispatchguard.GuardedDispatcher` wraps the client and checks each request first.
+:class:`~daleroad.guarding.GuardedDispatcher` wraps the client and checks each request first.
 """
 
 from collections.abc import AsyncIterator
--- a/src/daleroad/forwarding.py
+++ b/src/daleroad/forwarding.py
@@ -4,7 +4,7 @@
 if the previous one certainly did not run it, or if its route allows it to run more than once. The
 route's attempt limit covers the attempts that may have run, and each retry takes from the budget
 that all gateways share; an attempt that reached no upstream counts against neither. Restarts of a
-started stream are decided in :mod:`daleroad.streams`, which takes from the same budget.
+started stream are decided in :mod:`daleroad.runs`, which takes from the same budget.
 """
 
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -12,6 +12,7 @@
 
 import anyio
 
+from daleroad.choosing import InsufficientMemory
 from daleroad.defaults import (
     ENGINE_RETRY_AFTER_SECONDS,
     EVACUATED_RETRY_SECONDS,
@@ -42,8 +43,7 @@
 from daleroad.instances import Instance
 from daleroad.metrics import RequestMetrics
 from daleroad.routing import Repeat, RouteRule, RoutingTable, ServiceRule
-from daleroad.selection import InsufficientMemory
-from daleroad.streams import RetryState, StreamRegistry, StreamRun
+from daleroad.runs import RetryState, StreamRegistry, StreamRun
 from daleroad.suspects import TRIAL_INTERVAL_SECONDS, Standing
 
 
--- a/src/daleroad/gateway.py
+++ b/src/daleroad/gateway.py
@@ -1,6 +1,6 @@
 """The shared state of one gateway: routing table, known upstreams and retry budget.
 
-Request handling is in :mod:`daleroad.forwarding`, stream delivery in :mod:`daleroad.streams`.
+Request handling is in :mod:`daleroad.forwarding`, stream delivery in :mod:`daleroad.runs`.
 """
 
 from collections.abc import Awaitable, Callable, Coroutine, Iterator
@@ -13,21 +13,21 @@
 from anyio.abc import TaskGroup
 
 from daleroad.backpressure import Backpressure
+from daleroad.choosing import GatewayOptions, UpstreamSelector
 from daleroad.defaults import LAST_ANSWER_SECONDS
 from daleroad.dispatch import Dispatcher
-from daleroad.dispatchguard import Guard, GuardedDispatcher
 from daleroad.evacuations import EvacuatedZones
 from daleroad.events import Event, log_event
 from daleroad.fleet import GONE_KEPT_SECONDS, Fleet
-from daleroad.grantclient import list_upstream_notices
+from daleroad.guarding import Guard, GuardedDispatcher
 from daleroad.instances import Instance, InstanceState
+from daleroad.limitedsends import list_upstream_notices
 from daleroad.loads import GatewayLoads
 from daleroad.notices import GatewayNotice, UpstreamNotice
 from daleroad.outbox import Outbox
 from daleroad.ratelimits import RateLimit
 from daleroad.retries import WindowBudget
 from daleroad.routing import RoutingConfig, RoutingTable, ServiceRule
-from daleroad.selection import GatewayOptions, UpstreamSelector
 from daleroad.suspects import Suspects, Suspicion
 
 TrialCallback = Callable[[str], Awaitable[bool]]
--- a/src/daleroad/generations.py
+++ b/src/daleroad/generations.py
@@ -11,30 +11,30 @@
 from daleroad.claimclient import ClaimClient, make_unclaimed_failure
 from daleroad.claimjournal import Claim, ClaimState
 from daleroad.defaults import MAX_CLAIM_ANSWER_BYTES
-from daleroad.enginestream import (
-    EngineStream,
-    StreamEnded,
-    StreamFailed,
-    StreamPart,
-    TokenChunk,
-    cancel_generation,
-)
+from daleroad.delivery import TokenSequence
+from daleroad.ending import make_shutdown_failure
 from daleroad.environment import Environment, Inflight
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
+from daleroad.finishing import compute_latest_start, estimate_max_tokens
 from daleroad.jobs import Job, authenticate, describe_work, parse_job
 from daleroad.messages import EngineCompletion, PermitAnswer, PermitEnd, Work
 from daleroad.organisationlimits import OrganisationLimits
 from daleroad.ranking import rank_upstreams
 from daleroad.records import Organisation, Upstream
+from daleroad.relay import (
+    EngineStream,
+    StreamEnded,
+    StreamFailed,
+    StreamPart,
+    TokenChunk,
+    cancel_generation,
+)
 from daleroad.requestholds import RequestHolds, fingerprint_call
 from daleroad.retries import get_backoff
 from daleroad.security import get_upstream, make_generation
 from daleroad.serving import Answer, Request, Response, Stream, make_error
-from daleroad.shutdown import make_shutdown_failure
-from daleroad.shutdowndeadline import compute_latest_start, estimate_max_tokens
 from daleroad.stewardship import Stewardship
-from daleroad.tokensequence import TokenSequence
 
 _MAX_CANDIDATES = 3
 _TRANSIENT_KINDS = (FailureKind.CONFLICT, FailureKind.UNREACHABLE, FailureKind.DRAINING)
--- a/src/daleroad/dispatchguard.py
+++ b/src/daleroad/guarding.py
@@ -39,8 +39,8 @@
 from daleroad.events import Event, log_event
 from daleroad.fingerprints import fingerprint_job
 from daleroad.fleet import Fleet
-from daleroad.grantlimits import Grants
 from daleroad.instances import Instance, InstanceState
+from daleroad.sendlimits import Grants
 from daleroad.suspects import Standing, Suspects, Suspicion
 
 GrantRequester = Callable[[Attempt], Awaitable[bool]]
--- a/src/daleroad/grantclient.py
+++ b/src/daleroad/limitedsends.py
@@ -4,11 +4,11 @@
 
 import anyio
 
-from daleroad.dispatchguard import Guard
 from daleroad.fleet import Fleet
-from daleroad.grantlimits import GRANT_LIFETIME_SECONDS, FallbackShare
+from daleroad.guarding import Guard
 from daleroad.instances import Instance, InstanceState
 from daleroad.notices import PlaceAnswer, UpstreamNotice
+from daleroad.sendlimits import GRANT_LIFETIME_SECONDS, FallbackShare
 
 
 class GrantClient:
--- a/src/daleroad/migration.py
+++ b/src/daleroad/migration.py
@@ -22,10 +22,10 @@
 from daleroad.fleet import GONE_KEPT_SECONDS
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState
+from daleroad.picking import MIGRATION_ZONE_BONUS, pick_upstream
 from daleroad.plans import MigrationPlan
 from daleroad.routing import ServiceRule
-from daleroad.scoring import MIGRATION_ZONE_BONUS, pick_upstream
-from daleroad.streams import ResumePoint, StreamRun
+from daleroad.runs import ResumePoint, StreamRun
 
 
 class EngineMigrator:
--- a/src/daleroad/orderdelivery.py
+++ b/src/daleroad/orderdelivery.py
@@ -11,7 +11,7 @@
 from daleroad.events import Event, log_event
 from daleroad.links import Links
 from daleroad.messages import EngineOrder, EngineState
-from daleroad.orderschedule import DesiredModels, LoadBucket, OrderScheduler
+from daleroad.orders import DesiredModels, LoadBucket, OrderScheduler
 from daleroad.records import ModelVersion, Order, Upstream
 from daleroad.settings import Settings
 
--- a/src/daleroad/placer.py
+++ b/src/daleroad/placer.py
@@ -2,7 +2,7 @@
 
 One gateway of many places few of the prompts itself and learns of the others' late. The placer
 records the load of each prompt when it chooses the engine, so that the next choice takes it into
-account. ``tests/test_placementmodel.py`` compares both in simulation.
+account. ``tests/test_placing.py`` compares both in simulation.
 
 Does no I/O; the caller passes in the time.
 """
@@ -13,12 +13,12 @@
 
 from daleroad.candidates import CandidateEvaluator
 from daleroad.fleet import Fleet
-from daleroad.grantlimits import ColdRule, GrantLimiter, WindowLimit, make_window_limits
 from daleroad.loads import LoadTotals
 from daleroad.notices import Load, PlaceAnswer, PlaceRequest
+from daleroad.picking import Candidate, pick_upstream
 from daleroad.routing import ServiceRule
-from daleroad.scoring import Candidate, pick_upstream
-from daleroad.unreachable import UnreachableUpstreams
+from daleroad.sendlimits import ColdRule, GrantLimiter, WindowLimit, make_window_limits
+from daleroad.unreached import UnreachableUpstreams
 
 
 class Placer:
--- a/src/daleroad/placementmodel.py
+++ b/src/daleroad/placing.py
@@ -17,7 +17,7 @@
 
 from daleroad.instances import Instance, InstanceState
 from daleroad.notices import Load
-from daleroad.scoring import (
+from daleroad.picking import (
     Candidate,
     PreferenceOrder,
     estimate_load,
--- a/src/daleroad/enginestream.py
+++ b/src/daleroad/relay.py
@@ -16,12 +16,12 @@
 from daleroad.calls import parse_problem
 from daleroad.codec import decode, encode
 from daleroad.defaults import CALL_TIMEOUT_SECONDS, MAX_RESUME_TRIES
+from daleroad.delivery import FrameAction, TokenSequence, parse_frames, split_events
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.events import Event, log_event
 from daleroad.links import Links
 from daleroad.messages import EngineCompletion, Forbidden
 from daleroad.retries import get_backoff
-from daleroad.tokensequence import FrameAction, TokenSequence, parse_frames, split_events
 
 
 @dataclass(frozen=True)
--- a/src/daleroad/memorymodel.py
+++ b/src/daleroad/roommodel.py
@@ -17,9 +17,9 @@
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.loads import LoadTotals
 from daleroad.notices import Load
-from daleroad.placementmodel import LONG_OUTPUT, SHORT_OUTPUT, PromptKind, draw_length
+from daleroad.picking import Candidate, pick_upstream
+from daleroad.placing import LONG_OUTPUT, SHORT_OUTPUT, PromptKind, draw_length
 from daleroad.routing import EngineRule, ServiceRule
-from daleroad.scoring import Candidate, pick_upstream
 
 STEP_SECONDS = 0.02
 """Step of virtual time; the prefill of a prompt takes 0.3 to 0.5 s."""
--- a/src/daleroad/services.py
+++ b/src/daleroad/services.py
@@ -15,6 +15,7 @@
 from daleroad.claimclient import ClaimClient, make_unclaimed_failure
 from daleroad.claimjournal import Claim, ClaimState
 from daleroad.defaults import LAST_ANSWER_SECONDS, MAX_CLAIM_ANSWER_BYTES
+from daleroad.ending import make_shutdown_failure
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.jobs import authenticate, get_idempotency_key, parse_deadline
@@ -24,7 +25,6 @@
 from daleroad.retries import get_backoff
 from daleroad.security import make_generation
 from daleroad.serving import Answer, Request, Response
-from daleroad.shutdown import make_shutdown_failure
 
 _IDEMPOTENT = ("GET", "HEAD", "OPTIONS")
 _MAX_ATTEMPTS = 4
--- a/src/daleroad/serving.py
+++ b/src/daleroad/serving.py
@@ -14,9 +14,9 @@
 
 from daleroad.channelserver import CHANNEL_PATH, ChannelAnswer, ChannelServer
 from daleroad.compression import ENCODING, pack, unpack
+from daleroad.ending import ShutdownScopes, make_shutdown_failure
 from daleroad.errors import DaleroadError, Failure, FailureKind, Ran
 from daleroad.settings import Tls
-from daleroad.shutdown import ShutdownScopes, make_shutdown_failure
 
 _STATUS: dict[FailureKind, int] = {
     FailureKind.BAD_REQUEST: 400,
--- a/src/daleroad/watching.py
+++ b/src/daleroad/watching.py
@@ -24,11 +24,11 @@
     WATCH_SLOW_SECONDS,
     WATCHED_COORDINATORS,
 )
-from daleroad.dispatchguard import log_suspect
 from daleroad.errors import Failure
 from daleroad.evacuations import EvacuatedZones
 from daleroad.events import Event, log_event
 from daleroad.gateway import Gateway
+from daleroad.guarding import log_suspect
 from daleroad.instances import InstanceState
 from daleroad.notices import WatchAnswer, WatchRequest
 from daleroad.patches import apply_patch
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,6 +5,7 @@
 
 import anyio
 
+from daleroad.choosing import GatewayOptions
 from daleroad.dispatch import (
     Attempt,
     ClientRequest,
@@ -32,8 +33,7 @@
     ServiceRule,
     Target,
 )
-from daleroad.selection import GatewayOptions
-from daleroad.streams import StreamRegistry
+from daleroad.runs import StreamRegistry
 
 ENGINE = EngineRule(24, 34_000, 0.00005, True, True)
 PROMPT = Prompt((("p", 3000),), 3000, 2000)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,13 +10,13 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from daleroad.channels import ChannelCalls
+from daleroad.choosing import GatewayOptions
 from daleroad.coldmodel import count_peak_requests
 from daleroad.forwarding import Forwarder, Outcome
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.placerclient import PlacerClient
 from daleroad.routing import Repeat
-from daleroad.selection import GatewayOptions
 from daleroad.watching import Watcher
 from tests.fakes import make_config, make_forwarder, make_job
 from tests.test_coordinator import parse
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -18,6 +18,7 @@
 
 from daleroad.catalog import Catalog
 from daleroad.catalogfollower import CatalogFollower
+from daleroad.choosing import GatewayOptions
 from daleroad.clock import read_clock, read_running_clock, run_on_clock, watch_clock
 from daleroad.codec import decode
 from daleroad.defaults import CLOCK_TURN_SECONDS, LOOP_STALL_SECONDS, SHARE_SECONDS
@@ -29,7 +30,6 @@
 from daleroad.messages import FollowAnswer
 from daleroad.notices import ShareRequest, WatchAnswer, WatchRequest
 from daleroad.routing import Repeat
-from daleroad.selection import GatewayOptions
 from daleroad.suspects import Suspicion
 from daleroad.watching import Watcher
 from tests.fakes import (
--- a/tests/test_coldlimits.py
+++ b/tests/test_coldlimits.py
@@ -16,7 +16,12 @@
 from daleroad.errors import Failure, FailureKind, Ran
 from daleroad.fleet import Fleet
 from daleroad.gateway import Gateway
-from daleroad.grantlimits import (
+from daleroad.instances import Sighting
+from daleroad.loads import LoadTotals
+from daleroad.notices import PlaceAnswer, PlaceRequest
+from daleroad.placer import Placer
+from daleroad.routing import Repeat, RoutingConfig, ServiceRule
+from daleroad.sendlimits import (
     GRANT_LIFETIME_SECONDS,
     LOOKBACK_SECONDS,
     MAX_LOOKBACK_SECONDS,
@@ -24,11 +29,6 @@
     GrantLimiter,
     Grants,
 )
-from daleroad.instances import Sighting
-from daleroad.loads import LoadTotals
-from daleroad.notices import PlaceAnswer, PlaceRequest
-from daleroad.placer import Placer
-from daleroad.routing import Repeat, RoutingConfig, ServiceRule
 from tests.fakes import (
     ENGINE,
     PROMPT,
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -14,6 +14,7 @@
 from anyio.abc import TaskGroup
 
 from daleroad.channels import ChannelCalls
+from daleroad.choosing import GatewayOptions
 from daleroad.codec import encode
 from daleroad.coordinator import Coordinator, CoordinatorOptions
 from daleroad.defaults import (
@@ -35,7 +36,6 @@
     WatchRequest,
 )
 from daleroad.routing import RoutingConfig, ServiceRule
-from daleroad.selection import GatewayOptions
 from daleroad.serving import serve_app
 from daleroad.settings import Tls
 from daleroad.watching import Watcher
--- a/tests/test_tokensequence.py
+++ b/tests/test_delivery.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from daleroad.delivery import Frame, FrameAction, TokenSequence, parse_frames, split_events
 from daleroad.engine import make_end, make_frame
-from daleroad.tokensequence import Frame, FrameAction, TokenSequence, parse_frames, split_events
 
 
 class DeliveryTest(unittest.TestCase):
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -38,7 +38,7 @@
 from daleroad.metrics import Metrics, RequestMetrics  # noqa: E402
 from daleroad.migration import EngineMigrator  # noqa: E402
 from daleroad.routing import Repeat, RoutingConfig  # noqa: E402
-from daleroad.streams import StreamEnd, StreamRegistry  # noqa: E402
+from daleroad.runs import StreamEnd, StreamRegistry  # noqa: E402
 from tests.fakes import (  # noqa: E402
     WHOLE,
     FakeDispatcher,
@@ -203,7 +203,7 @@
         self.assertEqual(self.dispatcher.attempts, [])
 
     def test_stream_cut_by_the_exit_is_logged_as_such(self) -> None:
-        with patch("daleroad.streams.log_event") as log:
+        with patch("daleroad.runs.log_event") as log:
             answer = self.request_stream(PacedStream(1, LONG_EVENTS), 2216, after=None)
         self.assertEqual((answer.status, answer.whole), (200, False))
         self.assertGreater(answer.ended_at - self.stopped_at, GRACE_SECONDS - 0.7)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -448,7 +448,7 @@
         sends = func.endswith(".send") and [ast.unparse(a) for a in node.args] == ["attempt"]
         copies = func.endswith((".copy",)) and len(node.args) == 4
         if sends or copies:
-            allowed = {"dispatchguard.py": "self._inner"}.get(name)
+            allowed = {"guarding.py": "self._inner"}.get(name)
             guarded = func.rpartition(".")[0].endswith("_gateway.dispatcher")
             own = func.rpartition(".")[0] in (allowed, "gateway.dispatcher")
             self.assertTrue(guarded or own, f"{name}: {func}")
--- a/tests/test_shutdowndeadline.py
+++ b/tests/test_finishing.py
@@ -14,6 +14,7 @@
 from daleroad.defaults import DRAIN_SECONDS_PER_TOKEN, FIRST_TOKEN_ALLOWANCE_SECONDS
 from daleroad.environment import Environment
 from daleroad.errors import Failure, FailureKind, Ran
+from daleroad.finishing import compute_latest_start, estimate_max_tokens
 from daleroad.generations import GenerationHandler
 from daleroad.lengths import OutputLengths
 from daleroad.links import Links
@@ -25,7 +26,6 @@
 from daleroad.security import hash_token
 from daleroad.serving import Answer, Request
 from daleroad.settings import Tls
-from daleroad.shutdowndeadline import compute_latest_start, estimate_max_tokens
 
 MAX_TOKENS = 900
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -17,7 +17,7 @@
 from daleroad.metrics import Metrics, RequestMetrics
 from daleroad.migration import EngineMigrator
 from daleroad.routing import OrganisationRule, Repeat, RoutingConfig
-from daleroad.streams import StreamRegistry
+from daleroad.runs import StreamRegistry
 from tests.fakes import (
     WHOLE,
     FakeDispatcher,
--- a/tests/test_heldrequests.py
+++ b/tests/test_heldrequests.py
@@ -16,6 +16,7 @@
 
 from daleroad.calls import make_url
 from daleroad.channels import ChannelCalls
+from daleroad.choosing import GatewayOptions
 from daleroad.codec import encode
 from daleroad.commandcalls import SECRET_VARIABLE
 from daleroad.defaults import PERSIST_INTERVAL_SECONDS
@@ -30,7 +31,6 @@
     TrialRequest,
     WatchAnswer,
 )
-from daleroad.selection import GatewayOptions
 from daleroad.suspectcommands import SuspectCommands
 from daleroad.suspects import MIN_CRASHES_HELD, Standing, Suspicion
 from daleroad.watching import Watcher
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,7 +5,7 @@
 import orjson
 
 from daleroad.explain import LogLine, parse_lines
-from daleroad.streams import StreamEnd
+from daleroad.runs import StreamEnd
 from tools.ledger import Cause, Loss, find_losses, render_losses, render_worth
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,7 +7,7 @@
 
 from daleroad.loopback import Site
 from daleroad.messages import EngineState
-from daleroad.orderschedule import DesiredModels, LoadBucket, OrderScheduler
+from daleroad.orders import DesiredModels, LoadBucket, OrderScheduler
 from daleroad.records import ModelVersion, Order, Upstream
 from tests.harness import SiteTest, get_json, wait_for
 
--- a/tests/test_scoring.py
+++ b/tests/test_picking.py
@@ -15,9 +15,7 @@
 from daleroad.gateway import Gateway
 from daleroad.instances import Instance, InstanceState, Sighting
 from daleroad.notices import Load
-from daleroad.retries import WindowBudget
-from daleroad.routing import Repeat
-from daleroad.scoring import (
+from daleroad.picking import (
     MAX_PREFERENCE_WEIGHT,
     Candidate,
     estimate_load,
@@ -25,6 +23,8 @@
     pick_upstream,
     sample_candidates,
 )
+from daleroad.retries import WindowBudget
+from daleroad.routing import Repeat
 from tests.fakes import FakeDispatcher, make_config, make_gateway, make_instance
 
 
--- a/tests/test_placementmodel.py
+++ b/tests/test_placing.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from statistics import mean
 
-from daleroad.placementmodel import PlacingCase, PlacingResult, simulate
+from daleroad.placing import PlacingCase, PlacingResult, simulate
 
 SEEDS = range(4)
 
--- a/tests/test_memorymodel.py
+++ b/tests/test_roommodel.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from daleroad.memorymodel import CASES, MemoryCase, MemoryResult, Policy, format_cases, simulate
+from daleroad.roommodel import CASES, MemoryCase, MemoryResult, Policy, format_cases, simulate
 
 SEED = 1
 MAX_IN_TIME_LOSS = 0.03
--- a/tests/test_streams.py
+++ b/tests/test_runs.py
@@ -20,7 +20,7 @@
 from daleroad.instances import InstanceState, Sighting
 from daleroad.migration import EngineMigrator
 from daleroad.routing import Repeat
-from daleroad.streams import RetryState, StreamEnd, StreamRegistry, StreamRun
+from daleroad.runs import RetryState, StreamEnd, StreamRegistry, StreamRun
 from tests.fakes import (
     PROMPT,
     FakeDispatcher,
--- a/tests/test_grantlimits.py
+++ b/tests/test_sendlimits.py
@@ -19,7 +19,11 @@
 from daleroad.dispatch import Attempt, CopySource, NotRun, Whole
 from daleroad.errors import Failure, Ran
 from daleroad.forwarding import Outcome
-from daleroad.grantlimits import (
+from daleroad.instances import Sighting
+from daleroad.notices import PlaceAnswer, PlaceRequest
+from daleroad.ratelimits import MIN_LIFT_DELAY_SECONDS
+from daleroad.routing import Repeat
+from daleroad.sendlimits import (
     LOOKBACK_SECONDS,
     MAX_ARRIVAL_DELAY_SECONDS,
     PROBE_INTERVAL_SECONDS,
@@ -28,10 +32,6 @@
     GrantLimiter,
     make_window_limits,
 )
-from daleroad.instances import Sighting
-from daleroad.notices import PlaceAnswer, PlaceRequest
-from daleroad.ratelimits import MIN_LIFT_DELAY_SECONDS
-from daleroad.routing import Repeat
 from tests.fakes import WHOLE, FakeDispatcher, make_config, make_gateway, make_instance, make_job
 from tests.standins import (
     GATEWAYS,
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -14,6 +14,7 @@
 import httpx
 
 from daleroad.codec import encode
+from daleroad.ending import ShutdownScopes, make_shutdown_failure
 from daleroad.errors import Ran
 from daleroad.leaderclient import LeaderClient
 from daleroad.loopback import OPERATOR_TOKENS, STOYANOV, Site, find_ports, get_token, make_site
@@ -21,7 +22,6 @@
 from daleroad.security import hash_token
 from daleroad.serving import Answer, Request, Response, Router, Stream, serve_app
 from daleroad.settings import Settings, Tls
-from daleroad.shutdown import ShutdownScopes, make_shutdown_failure
 from tests.harness import SiteTest, generate, get_json, wait_for
 
 KILL_SECONDS = 3.0
--- a/tests/test_unreachable.py
+++ b/tests/test_unreached.py
@@ -13,7 +13,7 @@
 from daleroad.notices import PlaceAnswer, PlaceRequest
 from daleroad.placer import Placer
 from daleroad.routing import Repeat, ServiceRule
-from daleroad.unreachable import UnreachableUpstreams
+from daleroad.unreached import UnreachableUpstreams
 from tests.fakes import (
     ENGINE,
     PROMPT,
--- a/tools/ledger.py
+++ b/tools/ledger.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from daleroad.explain import LogLine, parse_lines
-from daleroad.streams import StreamEnd
+from daleroad.runs import StreamEnd
 
 SPAN_SECONDS = 2
 """Length of the spans by which losses are listed."""
