--- a/src/daleroad/admission.py
+++ b/src/daleroad/admission.py
@@ -515,7 +515,7 @@
         return admitted
 
     def _drop_missing(self, load: UpstreamReport, now: float) -> None:
-        """Drop requests that the upstream no longer reports, or not within PERMIT_TIMEOUT_SECONDS."""
+        """Drop requests the upstream no longer reports, or not within PERMIT_TIMEOUT_SECONDS."""
         for generation_id, admitted in list(self._admitted.items()):
             overdue = now > admitted.admitted_at + PERMIT_TIMEOUT_SECONDS
             if generation_id not in load.produced_tokens and (admitted.reported or overdue):
--- a/src/daleroad/forwarding.py
+++ b/src/daleroad/forwarding.py
@@ -216,8 +216,9 @@
     def _make_held_failure(self, state: _RequestState) -> Failure:
         """Return the failure for a request that is held, or whose trial was not granted.
 
-        Upstreams ended while running it. Retry-After is the remaining hold time, TRIAL_INTERVAL_SECONDS at
-        least; a request that may have run gets UPSTREAM_LOST without Retry-After.
+        Upstreams ended while running it. Retry-After is the remaining hold time,
+        TRIAL_INTERVAL_SECONDS at least; a request that may have run gets UPSTREAM_LOST without
+        Retry-After.
         """
         reason = "upstreams crashed while running this request"
         if state.possible_runs:
@@ -280,8 +281,8 @@
     def _refuse_if_draining(self, state: _RequestState, now: float) -> Failure | None:
         """Return a refusal if a draining gateway should not accept the request, else ``None``.
 
-        :func:`should_accept` decides from the request's estimated duration. A request that may have run on
-        an upstream is never refused here.
+        :func:`should_accept` decides from the request's estimated duration. A request that may have
+        run on an upstream is never refused here.
         """
         gateway = self._gateway
         if gateway.serving or state.possible_runs:
@@ -290,7 +291,7 @@
         retry_after = find_retry_after(left, gateway.other_gateways, gateway.selector.gateways)
         if should_accept(state.need, left, state.response_deadline - now, retry_after):
             return None
-        reason = "this gateway stops before the response could be complete"
+        reason = "the gateway is shutting down before the response could be complete"
         return Failure(FailureKind.DRAINING, reason, Ran.NO, retry_after)
 
     def _find_start_deadline(self, state: _RequestState) -> float:
--- a/src/daleroad/guarding.py
+++ b/src/daleroad/guarding.py
@@ -60,7 +60,8 @@
     :param backoffs: the upstreams that asked this gateway to back off.
     :param cold_limited_services: services whose upstreams are rate-limited while they are cold.
     :param grants: the unused grants for rate-limited upstreams.
-    :param request_grant_callback: requests a grant for an attempt that has none; if None, none is given.
+    :param request_grant_callback: requests a grant for an attempt that has none; if None, none is
+        given.
     """
 
     suspects: Suspects
--- a/src/daleroad/runs.py
+++ b/src/daleroad/runs.py
@@ -45,8 +45,8 @@
     """The attempts of one request, and the limit on restarting its stream.
 
     :param tried_ids: ids of the upstreams that it was sent to.
-    :param max_runs: allowed number of executions on upstreams if the route allows a restart elsewhere,
-        else 0.
+    :param max_runs: allowed number of executions on upstreams if the route allows a restart
+        elsewhere, else 0.
     :param ran: number of sends so far that may have led to an execution; resuming from copied
         memory does not count.
     :param need: estimated duration of another execution.
@@ -71,7 +71,8 @@
     :param last_event: id of the last event that had one.
     :param migrating: whether a migration off its engine was started.
     :param resume_point: set once the generation was stopped and its memory copied elsewhere.
-    :param migration_done: set when the migration has ended, successfully or not, or the stream is closed.
+    :param migration_done: set when the migration has ended, successfully or not, or the stream is
+        closed.
     :param ended: whether the stream was closed.
     :param outcome: how the stream ended. A client disconnect only cancels the delivery, so it is
         assumed until another end is known.
--- a/src/daleroad/suspects.py
+++ b/src/daleroad/suspects.py
@@ -7,8 +7,8 @@
 - A poison request never has a complete response. Each complete response cancels one crash that is
   recorded already, or else becomes a credit, which cancels one recorded soon after.
 - An instance that is heard from after its supposed crash is alive, so that crash is retracted.
-- A request with MIN_CRASHES_HELD crashes or more and no known complete response explains its crashes:
-  they are not counted against requests that had a complete response or have fewer crashes.
+- A request with MIN_CRASHES_HELD crashes or more and no known complete response explains its
+  crashes: they are not counted against requests that had a complete response or have fewer crashes.
 
 Processes exchange reports of crashes by instance, of those that were retracted, and of whether
 there was a complete response. Merging a report adds to these; a retracted crash doesn't come back
@@ -42,8 +42,8 @@
 that crashes every upstream never has a complete response."""
 
 SUSPECT_RETENTION_SECONDS = 600.0
-"""Time since its last crash after which a request with fewer than MIN_CRASHES_HELD counted crashes is
-forgotten."""
+"""Time since its last crash after which a request with fewer than MIN_CRASHES_HELD counted crashes
+is forgotten."""
 
 HELD_RETENTION_SECONDS = 2 * HOLD_BACKOFF_SECONDS[-1]
 """Time since its last crash after which a request with MIN_CRASHES_HELD counted crashes or more is
@@ -424,7 +424,7 @@
 
 
 class Trials:
-    """The trials of requests that were claimed in the last TRIAL_INTERVAL_SECONDS, one for each request."""
+    """The trials claimed in the last TRIAL_INTERVAL_SECONDS, one for each request."""
 
     def __init__(self) -> None:
         self._claimed_at: dict[str, float] = {}
