--- a/src/daleroad/admission.py
+++ b/src/daleroad/admission.py
@@ -399,7 +399,7 @@
 
         Urgent requests may use the whole upstream, others all but the reserve. With
         ``confine_urgent`` or while rebuilding, only the reserve is available, and only urgent
-        requests count as its use. Unlimited and FixedLimitPolicy have no reserve.
+        requests count as its use. UnlimitedPolicy and FixedLimitPolicy have no reserve.
 
         :param work: the request.
         :param now: the time.
--- a/src/daleroad/dispatch.py
+++ b/src/daleroad/dispatch.py
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """One dispatch of a job to one instance.
+    """One send of a client's request to one instance.
 
     :param organisation: name of the sender's organisation, or empty.
     :param seconds: time left for the response.
--- a/src/daleroad/fingerprints.py
+++ b/src/daleroad/fingerprints.py
@@ -19,7 +19,7 @@
     """Return the fingerprint of a gateway's request.
 
     :param job: the request.
-    :param organisation: the organisation that sent it, or empty to use the job's key instead.
+    :param organisation: the organisation that sent it, or empty to use the request's key instead.
     """
     return make_fingerprint(organisation or job.key, job.method, job.host, job.target, job.body)
 
--- a/src/daleroad/forwarding.py
+++ b/src/daleroad/forwarding.py
@@ -216,7 +216,7 @@
     def _make_held_failure(self, state: _RequestState) -> Failure:
         """Return the failure for a request that is held, or whose trial was not granted.
 
-        Upstreams ended while running it. Retry-After is the remaining hold time,
+        Upstreams crashed while running it. Retry-After is the remaining hold time,
         TRIAL_INTERVAL_SECONDS at least; a request that may have run gets UPSTREAM_LOST without
         Retry-After.
         """
--- a/src/daleroad/gateway.py
+++ b/src/daleroad/gateway.py
@@ -186,7 +186,7 @@
         return anyio.current_time() - self.last_heard_at
 
     def count_held(self) -> int:
-        """Return how many requests are held because upstreams ended while running them."""
+        """Return how many requests are held because upstreams crashed while running them."""
         return self.suspects.count_held(anyio.current_time())
 
     def count_limited(self) -> int:
--- a/src/daleroad/leaderclient.py
+++ b/src/daleroad/leaderclient.py
@@ -26,7 +26,7 @@
     async def call(
         self, path: str, body: bytes, answer_type: Any, read_seconds: float, limit: float
     ) -> Any:
-        """POST a message to the leader, trying other members until a time limit.
+        """POST a message to the leader, trying other members until a timeout.
 
         The message must be idempotent, since it may be delivered more than once.
 
--- a/src/daleroad/placer.py
+++ b/src/daleroad/placer.py
@@ -1,8 +1,9 @@
-"""Central placement of all gateways' prompts, run by the leading coordinator.
+"""Central placement of requests for all gateways, run by the leading coordinator.
 
-One gateway of many places few of the prompts itself and learns of the others' late. The placer
-records the load of each prompt when it chooses the engine, so that the next choice takes it into
-account. ``tests/test_placing.py`` compares both in simulation.
+Each of many gateways places few of the requests and learns of the others' late. The placer records
+the load of each request when it chooses its upstream, so that the next choice takes it into
+account. ``tests/test_placing.py`` simulates central placement, and compares it with gateways that
+choose by themselves.
 
 Does no I/O; the caller passes in the time.
 """
--- a/src/daleroad/placing.py
+++ b/src/daleroad/placing.py
@@ -71,7 +71,7 @@
     """One workload on one site.
 
     :param prompts_per_second: rate over all gateways.
-    :param exchange_seconds: from a gateway's receipt of the others' loads to its next exchange.
+    :param exchange_seconds: from when a gateway receives the others' loads to its next exchange.
     :param spread: whether prompts with short outputs follow each gateway's own order of engines.
     :param central_placer: whether one process chooses for all gateways.
     """
--- a/src/daleroad/retries.py
+++ b/src/daleroad/retries.py
@@ -49,7 +49,7 @@
 
 
 class WindowBudget:
-    """Limits retries per service in a sliding window, with an allowance shared among processes.
+    """Limits retries per service in a sliding window, with slack that all processes share.
 
     :param ratio: retries allowed for each first attempt in the window.
     :param slack: further retries allowed in a window, for all processes together.
--- a/src/daleroad/roommodel.py
+++ b/src/daleroad/roommodel.py
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True)
 class MemoryCase:
-    """A scenario whose disturbance lasts for the middle third of the simulated time.
+    """A scenario whose disruption lasts for the middle third of the simulated time.
 
     :param name: its name in the table.
     :param engines: number of engines, assigned to three zones in rotation.
     :param rate: prompts per second.
-    :param short_factor: multiplies the rate of short prompts during the disturbance.
-    :param long_factor: multiplies the rate of long prompts during the disturbance.
+    :param short_factor: multiplies the rate of short prompts during the disruption.
+    :param long_factor: multiplies the rate of long prompts during the disruption.
     :param lost_share: share of the engines that are lost during it, with their requests.
     :param evacuated: number of zones that get no prompts during it.
     :param step_factors: durations of the engines' steps relative to normal, assigned in rotation.
@@ -224,7 +224,7 @@
             self.engines[instance.id] = _Engine(instance, step_factor)
 
     def is_disturbed(self, now: float) -> bool:
-        """Return whether the disturbance of the case is under way."""
+        """Return whether the disruption of the case is under way."""
         return self.case.seconds / 3 <= now < 2 * self.case.seconds / 3
 
     def run(self) -> MemoryResult:
@@ -264,7 +264,7 @@
                 self.pending.append((now, request))
 
     def _drop_lost_engines(self, now: float) -> None:
-        """Drop the requests of the engines that are lost during the disturbance."""
+        """Drop the requests of the engines that are lost during the disruption."""
         if not self.case.lost_share or not self.is_disturbed(now):
             return
         for engine in list(self.engines.values())[: int(self.case.lost_share * self.case.engines)]:
--- a/src/daleroad/unreached.py
+++ b/src/daleroad/unreached.py
@@ -1,9 +1,8 @@
 """Tracks failed connections to upstreams, to avoid unreachable ones before their heartbeats lapse.
 
-Between its end and its next due heartbeat, an upstream that ended without notice seems idle, and
-load balancing prefers it. A failed connection shows the end at once. Since the cause may also be a
-network partition between availability zones, failures are counted by the zone that they were seen
-from.
+An upstream that crashed seems idle until its next heartbeat is overdue, so load balancing prefers
+it. A failed connection shows the crash at once. Since the cause may also be a network partition
+between availability zones, failures are counted by the zone that they were seen from.
 
 Does no I/O; the caller passes in the time.
 """
